--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -81,15 +81,15 @@
 
 func (e *exchange) query() placement.Query {
 	return placement.Query{
-		Engine:         e.service.Engine,
-		InputTokens:    e.env.Prompt.InputTokens,
-		OutputTokens:   e.env.Prompt.OutputTokens,
-		Objective:      e.route.Objective - time.Since(e.begun),
-		PauseObjective: e.route.PauseObjective,
-		Left:           time.Until(e.end),
-		Waited:         time.Since(e.begun),
-		Rank:           e.rank(),
-		Stream:         e.route.Kind == routetable.Stream,
+		Engine:              e.service.Engine,
+		InputTokens:         e.env.Prompt.InputTokens,
+		MaxOutputTokens:     e.env.Prompt.OutputTokens,
+		FirstTokenObjective: e.route.Objective - time.Since(e.begun),
+		PauseObjective:      e.route.PauseObjective,
+		TimeLeft:            time.Until(e.end),
+		Waited:              time.Since(e.begun),
+		Priority:            e.rank(),
+		Stream:              e.route.Kind == routetable.Stream,
 	}
 }
 
@@ -107,7 +107,7 @@
 		Patience:    time.Until(e.end),
 		Instance:    run.Server.Instance,
 		LastEventID: e.env.LastEventID,
-		Urgency:     run.Urgency,
+		Urgency:     run.QueuePriority,
 	}
 	if e.workspace != nil {
 		a.Workspace = e.workspace.Name
--- a/gateway/candidates.go
+++ b/gateway/candidates.go
@@ -15,7 +15,7 @@
 
 // place chooses the server among those that had no attempt yet, or among all if
 // every one had.
-func (e *exchange) place() (placement.Placement, placement.Answer) {
+func (e *exchange) place() (placement.Placement, placement.Decision) {
 	g := e.gateway
 	now := time.Now()
 	warm := e.warm(now)
--- a/gateway/candidates_test.go
+++ b/gateway/candidates_test.go
@@ -208,7 +208,7 @@
 	once  sync.Once
 }
 
-func (p *evacuates) Place(q placement.Query, candidates []placement.Candidate) (placement.Placement, placement.Answer) {
+func (p *evacuates) Place(q placement.Query, candidates []placement.Candidate) (placement.Placement, placement.Decision) {
 	place, answer := p.Placer.Place(q, candidates)
 	p.once.Do(p.begin)
 	return place, answer
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -42,7 +42,7 @@
 // Placer chooses where an attempt runs, and hears what becomes of it.
 type Placer interface {
 	// Place chooses among candidates.
-	Place(q placement.Query, candidates []placement.Candidate) (placement.Placement, placement.Answer)
+	Place(q placement.Query, candidates []placement.Candidate) (placement.Placement, placement.Decision)
 }
 
 // Gateway is the http.Handler of an entry for routed requests. It is safe for
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -97,11 +97,11 @@
 	asked     bool
 }
 
-func (p *waitOnce) Place(q placement.Query, candidates []placement.Candidate) (placement.Placement, placement.Answer) {
+func (p *waitOnce) Place(q placement.Query, candidates []placement.Candidate) (placement.Placement, placement.Decision) {
 	if !p.asked {
 		p.asked = true
 		p.meanwhile()
-		return placement.Placement{}, placement.Later
+		return placement.Placement{}, placement.Deferred
 	}
 	return p.Placer.Place(q, candidates)
 }
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -92,7 +92,7 @@
 // inOrder places on the first candidate by instance, so that tests know where.
 type inOrder struct{ planner *placement.Planner }
 
-func (p inOrder) Place(q placement.Query, candidates []placement.Candidate) (placement.Placement, placement.Answer) {
+func (p inOrder) Place(q placement.Query, candidates []placement.Candidate) (placement.Placement, placement.Decision) {
 	first := -1
 	for i, c := range candidates {
 		if first < 0 || c.Instance < candidates[first].Instance {
@@ -100,7 +100,7 @@
 		}
 	}
 	if first < 0 {
-		return placement.Placement{}, placement.NoRoom
+		return placement.Placement{}, placement.NoCapacity
 	}
 	return p.planner.Place(q, candidates[first:first+1])
 }
@@ -117,7 +117,7 @@
 	w.warmup.SetEntries(nil, time.Now())
 	w.routes = routetable.NewHolder(func() boottime.Instant { return *w.clock })
 	r := metrics.NewRegistry()
-	ledger := placement.NewLedger(func(uint64) *placement.Engine { return nil })
+	ledger := placement.NewLedger(func(uint64) *placement.EngineProfile { return nil })
 	w.gateway = New(Config{
 		Protocol:  testProtocol{},
 		Routes:    w.routes,
--- a/gateway/memory.go
+++ b/gateway/memory.go
@@ -29,10 +29,10 @@
 			return r, true
 		case e.keptOut.Declared():
 			return nil, false
-		case answer == placement.TooLate:
+		case answer == placement.DeadlineUnmeetable:
 			e.tooLate = place.Forecast
 			return nil, false
-		case answer != placement.Later && time.Now().After(until):
+		case answer != placement.Deferred && time.Now().After(until):
 			return nil, false
 		case e.env.Prompt.InputTokens == 0 || !sleep.For(ctx, memoryPause):
 			return nil, false
@@ -42,7 +42,7 @@
 
 // placeOnce places an attempt and reserves its memory, without a wait. Where it may not be
 // sent there any more by then it is placed anew.
-func (e *exchange) placeOnce(ctx context.Context) (*run, placement.Placement, placement.Answer) {
+func (e *exchange) placeOnce(ctx context.Context) (*run, placement.Placement, placement.Decision) {
 	for range clearTries {
 		place, answer := e.place()
 		if answer != placement.Placed {
@@ -51,7 +51,7 @@
 		held, err := e.reserve(ctx, place)
 		if err != nil {
 			place.End()
-			return nil, place, placement.NoRoom
+			return nil, place, placement.NoCapacity
 		}
 		r := &run{Placement: place, memory: held}
 		if e.clear(place) {
@@ -59,11 +59,11 @@
 		}
 		r.end()
 	}
-	return nil, placement.Placement{}, placement.NoRoom
+	return nil, placement.Placement{}, placement.NoCapacity
 }
 
 // reserve sets the memory of a placement aside; most need none.
-func (e *exchange) reserve(ctx context.Context, place placement.Placement) (*reservation.Held, error) {
+func (e *exchange) reserve(ctx context.Context, place placement.Placement) (*reservation.Reservation, error) {
 	if len(place.Holders) == 0 {
 		return nil, nil
 	}
@@ -76,7 +76,7 @@
 	}
 	held, failed, err := e.gateway.cfg.Reserver.Acquire(ctx, e.env.ID, parts)
 	if err != nil {
-		place.NoMemory(failed)
+		place.HolderRefused(failed)
 		e.gateway.cfg.Log.WithError(err).WithFields(logrus.Fields{
 			"request": e.env.ID, "holders": len(parts), "tokens_each": place.HolderTokens,
 		}).Info("memory not reserved")
@@ -88,7 +88,7 @@
 // helpersOf lists the servers that help the answering one. Where memory is
 // reserved the holders go first, the answering server before all: reservations are
 // filled in turn.
-func helpersOf(place placement.Placement, held *reservation.Held) []Helper {
+func helpersOf(place placement.Placement, held *reservation.Reservation) []Helper {
 	var out []Helper
 	listed := map[string]bool{}
 	if held != nil {
--- a/gateway/memory_test.go
+++ b/gateway/memory_test.go
@@ -14,9 +14,9 @@
 // full has no room for anything, and counts how often it was asked.
 type full struct{ asked atomic.Int64 }
 
-func (f *full) Place(placement.Query, []placement.Candidate) (placement.Placement, placement.Answer) {
+func (f *full) Place(placement.Query, []placement.Candidate) (placement.Placement, placement.Decision) {
 	f.asked.Add(1)
-	return placement.Placement{}, placement.NoRoom
+	return placement.Placement{}, placement.NoCapacity
 }
 
 // Symptom: in a burst of long prompts few requests of any size come in time.
@@ -42,9 +42,9 @@
 // late says of every request that its answer would come too late.
 type late struct{ asked atomic.Int64 }
 
-func (l *late) Place(placement.Query, []placement.Candidate) (placement.Placement, placement.Answer) {
+func (l *late) Place(placement.Query, []placement.Candidate) (placement.Placement, placement.Decision) {
 	l.asked.Add(1)
-	return placement.Placement{Forecast: time.Minute}, placement.TooLate
+	return placement.Placement{Forecast: time.Minute}, placement.DeadlineUnmeetable
 }
 
 // Symptom: a caller waits for fifteen seconds and gets nothing, and so do those beside it.
--- a/gateway/requestlog.go
+++ b/gateway/requestlog.go
@@ -57,13 +57,13 @@
 	if e.env.Prompt.InputTokens > 0 {
 		fields["tokens"] = e.env.Prompt.InputTokens
 	}
-	if e.placed.Part > 0 {
+	if e.placed.PartTime > 0 {
 		fields["placed_ms"] = e.placedAt.Sub(e.begun).Milliseconds()
 		fields["spread"] = 1 + len(e.placed.Helpers)
 		fields["helpers"] = addressesOf(e.placed.Helpers)
-		fields["part_ms"] = e.placed.Part.Milliseconds()
+		fields["part_ms"] = e.placed.PartTime.Milliseconds()
 		fields["forecast_ms"] = e.placed.Forecast.Milliseconds()
-		fields["harm"] = math.Round(e.placed.Harm*harmDigits) / harmDigits
+		fields["harm"] = math.Round(e.placed.Interference*harmDigits) / harmDigits
 	}
 	if e.tooLate > 0 {
 		fields["forecast_ms"] = e.tooLate.Milliseconds()
--- a/gateway/requestlog_bench_test.go
+++ b/gateway/requestlog_bench_test.go
@@ -34,7 +34,7 @@
 		env:    Envelope{ID: "c1-000123.1", Prompt: Prompt{InputTokens: 23_800}},
 		route:  &routetable.Route{Name: "conflict-review"},
 		server: "10.1.0.40:8000", revision: 12,
-		placed: placement.Placement{Part: time.Second, Forecast: time.Second, Harm: 0.25},
+		placed: placement.Placement{PartTime: time.Second, Forecast: time.Second, Interference: 0.25},
 		stream: &relay{events: 120, longest: 90 * time.Millisecond},
 	}
 	b.Run("written", func(b *testing.B) {
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -13,8 +13,8 @@
 // reserved there.
 type run struct {
 	placement.Placement
-	memory *reservation.Held // nil: none is reserved
-	writes bool              // the first event has come
+	memory *reservation.Reservation // nil: none is reserved
+	writes bool                     // the first event has come
 }
 
 // context returns a context that ends with its parent, and when the engines say that
--- a/gateway/run_test.go
+++ b/gateway/run_test.go
@@ -17,9 +17,9 @@
 	first []uint64 // sequences of the attempts whose first token came
 }
 
-func (t *told) Began(placement.Work)   {}
-func (t *told) Ended(placement.WorkID) {}
-func (t *told) FirstToken(id placement.WorkID) {
+func (t *told) Began(placement.Attempt)   {}
+func (t *told) Ended(placement.AttemptID) {}
+func (t *told) FirstToken(id placement.AttemptID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.first = append(t.first, id.Seq)
@@ -33,7 +33,7 @@
 func TestFirstTokenOfEachAttemptIsTold(t *testing.T) {
 	w := newWorld(t, events(1, 3, true), events(4, 6, false)).configured()
 	tell := &told{}
-	ledger := placement.NewLedger(func(uint64) *placement.Engine { return nil })
+	ledger := placement.NewLedger(func(uint64) *placement.EngineProfile { return nil })
 	w.gateway.cfg.Placer = inOrder{placement.NewPlanner(ledger, 1, time.Now, tell)}
 	r, text, err := w.ask(http.MethodPost, "/stream/", "body")
 	wantStatus(t, r, err, http.StatusOK)
--- a/gateway/unused_test.go
+++ b/gateway/unused_test.go
@@ -18,9 +18,9 @@
 )
 
 // joined is an engine that keeps a prompt together with others.
-var joined = &placement.Engine{
+var joined = &placement.EngineProfile{
 	Capacity: 12, MemoryTokens: 200_000, Stride: 48, Chunk: 2048,
-	StepTime: time.Millisecond, ReadPerSecond: 1e9, HopTime: 75 * time.Microsecond,
+	StepTime: time.Millisecond, PrefillRate: 1e9, HopTime: 75 * time.Microsecond,
 }
 
 // ownMemory is the memory of engines on which no prompt has begun. mu guards held.
@@ -47,14 +47,14 @@
 	return nil
 }
 
-func (m *ownMemory) Use(context.Context, reservation.Engine, string) (reservation.Use, error) {
+func (m *ownMemory) Usage(context.Context, reservation.Engine, string) (reservation.Usage, error) {
 	return reservation.Unused, nil
 }
 
 // joining has the gateway place prompts with the real planner on engines that keep
 // them together, and reserve in m.
 func (w *world) joining(m *ownMemory) *world {
-	ledger := placement.NewLedger(func(uint64) *placement.Engine { return joined })
+	ledger := placement.NewLedger(func(uint64) *placement.EngineProfile { return joined })
 	w.gateway.cfg.Placer = placement.NewPlanner(ledger, 1, time.Now, nil)
 	w.gateway.cfg.Reserver = reservation.New(m, 1, quiet.Logger(), metrics.NewRegistry())
 	d := declared(1)
--- a/internal/capacity/measure_gateway.go
+++ b/internal/capacity/measure_gateway.go
@@ -35,13 +35,13 @@
 
 // twoExchanges starts two that know each other. It returns the first's teller and a
 // function for the bytes that it has sent.
-func twoExchanges(ctx context.Context) (teller placement.Teller, ledger *placement.Ledger, sent func() int64, err error) {
+func twoExchanges(ctx context.Context) (teller placement.AttemptPublisher, ledger *placement.Ledger, sent func() int64, err error) {
 	store := standin.NewMemory(standin.Config{})
 	registry := metrics.NewRegistry()
 	var known [2]chan int
 	for i, name := range []string{"gateway-1", "gateway-2"} {
 		known[i] = make(chan int, 16)
-		l := placement.NewLedger(func(uint64) *placement.Engine { return nil })
+		l := placement.NewLedger(func(uint64) *placement.EngineProfile { return nil })
 		r := metrics.NewRegistry()
 		if i == 0 {
 			r, ledger = registry, l
@@ -69,11 +69,11 @@
 	return teller, ledger, metrics.GetOrRegisterCounter("wire.datagrams.bytes_out", registry).Count, nil
 }
 
-func newsWork(seq uint64) placement.Work {
-	w := placement.Work{
-		ID: placement.WorkID{Owner: 1, Seq: seq}, Server: placement.ServerKey("engine"),
-		Part: 40 * time.Millisecond, PartTokens: 4000, Memory: 6400, Pause: 250 * time.Millisecond,
-		FirstBy: time.Now().Add(300 * time.Millisecond), Weight: 1.5,
+func newsWork(seq uint64) placement.Attempt {
+	w := placement.Attempt{
+		ID: placement.AttemptID{Owner: 1, Seq: seq}, Server: placement.ServerKey("engine"),
+		PartTime: 40 * time.Millisecond, PartTokens: 4000, MemoryTokens: 6400, PauseObjective: 250 * time.Millisecond,
+		FirstTokenDeadline: time.Now().Add(300 * time.Millisecond), Weight: 1.5,
 	}
 	for range newsHelpers {
 		w.Helpers = append(w.Helpers, placement.ServerKey("helper"))
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -239,7 +239,7 @@
 		Policy:   placement.Policy(g.Placement),
 		Store:    store,
 		Protocol: platform.Protocol{},
-		Engines:  func(p *upstream.Pool) reservation.Engines { return platform.NewOrders(p) },
+		Engines:  func(p *upstream.Pool) reservation.EngineClient { return platform.NewOrders(p) },
 		Decoder: gatewaynode.Decoder{
 			ConfigKind:      platform.KindConfig,
 			ServersKind:     platform.KindServers,
--- a/internal/gatewaynode/engines.go
+++ b/internal/gatewaynode/engines.go
@@ -36,7 +36,7 @@
 
 // engineOf returns the engine that a server is; nil for a plain service or a
 // server that isn't known.
-func (n *Node) engineOf(server uint64) *placement.Engine {
+func (n *Node) engineOf(server uint64) *placement.EngineProfile {
 	name, ok := n.engines.service(n.directory, server)
 	if !ok {
 		return nil
--- a/internal/gatewaynode/node.go
+++ b/internal/gatewaynode/node.go
@@ -102,7 +102,7 @@
 	Options        gateway.Options
 	Policy         placement.Policy // empty: placement.LeastLoss
 	// Engines gives orders over the node's connections.
-	Engines  func(*upstream.Pool) reservation.Engines
+	Engines  func(*upstream.Pool) reservation.EngineClient
 	Store    objectapi.Store
 	Decoder  Decoder
 	Protocol gateway.Protocol
@@ -191,7 +191,7 @@
 		Zones:     n.zones,
 		Warmup:    n.warmup,
 		Pool:      n.pool,
-		Placer:    placement.NewPlanner(n.ledger, incarnation, time.Now, exchange.Teller()).Use(cmp.Or(cfg.Policy, placement.LeastLoss)),
+		Placer:    placement.NewPlanner(n.ledger, incarnation, time.Now, exchange.Teller()).SetPolicy(cmp.Or(cfg.Policy, placement.LeastLoss)),
 		Budget:    budget,
 		Suspects:  suspects,
 		Witness:   exchange.Witness(),
@@ -251,6 +251,6 @@
 		}
 		n.pool.Sweep(func(address string) bool { return known[address] })
 		n.warmup.Forget(func(instance string) bool { return instances[instance] })
-		n.ledger.Forget(func(server uint64) bool { return n.engines.knows(n.directory, server) })
+		n.ledger.PruneServers(func(server uint64) bool { return n.engines.knows(n.directory, server) })
 	}
 }
--- a/peering/exchange.go
+++ b/peering/exchange.go
@@ -119,7 +119,7 @@
 }
 
 // Teller returns what the entry's planner tells of its attempts.
-func (x *Exchange) Teller() placement.Teller { return x.outbox }
+func (x *Exchange) Teller() placement.AttemptPublisher { return x.outbox }
 
 // Witness returns what the entry's gateway tells of servers that died.
 func (x *Exchange) Witness() gateway.Witness { return x.outbox }
@@ -185,7 +185,7 @@
 		x.forgetSilent(time.Now())
 		// Before the list is taken: what begins meanwhile may or may not be in it.
 		m := &wirepb.WorkNews{Owner: x.cfg.Incarnation, Beat: true, UpTo: x.outbox.newest()}
-		for _, w := range x.cfg.Ledger.Active(x.cfg.Incarnation) {
+		for _, w := range x.cfg.Ledger.AttemptsOf(x.cfg.Incarnation) {
 			m.Active = append(m.Active, w.ID.Seq)
 		}
 		// More than fit are not listed; without the mark of a whole list nobody
@@ -290,13 +290,13 @@
 		x.cfg.Ledger.Begin(decode(owner, b, now), now)
 	}
 	for _, seq := range m.GetFirstToken() {
-		x.cfg.Ledger.FirstToken(placement.WorkID{Owner: owner, Seq: seq}, now)
+		x.cfg.Ledger.FirstToken(placement.AttemptID{Owner: owner, Seq: seq}, now)
 	}
 	for _, seq := range m.GetEnded() {
-		x.cfg.Ledger.End(placement.WorkID{Owner: owner, Seq: seq})
+		x.cfg.Ledger.End(placement.AttemptID{Owner: owner, Seq: seq})
 	}
 	wire.LearnEvidence(x.cfg.Suspects, m.GetEvidence(), now)
 	if m.GetBeat() {
-		x.cfg.Ledger.Keep(owner, m.GetActive(), m.GetUpTo(), now.Add(-settleTime))
+		x.cfg.Ledger.Reconcile(owner, m.GetActive(), m.GetUpTo(), now.Add(-settleTime))
 	}
 }
--- a/peering/exchange_test.go
+++ b/peering/exchange_test.go
@@ -34,7 +34,7 @@
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
 	e := &entry{
-		ledger:   placement.NewLedger(func(uint64) *placement.Engine { return nil }),
+		ledger:   placement.NewLedger(func(uint64) *placement.EngineProfile { return nil }),
 		suspects: quarantine.NewBook(quarantine.DefaultOptions),
 		stop:     stop,
 		entries:  make(chan int, 64),
@@ -63,17 +63,17 @@
 }
 
 // begin notes a work on an entry and tells the others, as a planner does.
-func (e *entry) begin(owner, seq uint64) placement.Work {
-	w := placement.Work{
-		ID: placement.WorkID{Owner: owner, Seq: seq}, Server: 7, Helpers: []uint64{8, 9}, Part: time.Second, PartTokens: 10,
-		Memory: 20, Pause: time.Second, Weight: 3, Holders: []uint64{7, 8}, HolderMemory: 11,
+func (e *entry) begin(owner, seq uint64) placement.Attempt {
+	w := placement.Attempt{
+		ID: placement.AttemptID{Owner: owner, Seq: seq}, Server: 7, Helpers: []uint64{8, 9}, PartTime: time.Second, PartTokens: 10,
+		MemoryTokens: 20, PauseObjective: time.Second, Weight: 3, Holders: []uint64{7, 8}, HolderTokens: 11,
 	}
 	e.ledger.Begin(w, time.Now())
 	e.exchange.Teller().Began(w)
 	return w
 }
 
-func (e *entry) knows(owner uint64) int { return len(e.ledger.Active(owner)) }
+func (e *entry) knows(owner uint64) int { return len(e.ledger.AttemptsOf(owner)) }
 
 func TestEntriesHearOfEachOthersWork(t *testing.T) {
 	store := memory.NewMemory(memory.Config{})
@@ -82,12 +82,12 @@
 	await(t, "both found each other", func() bool { return <-b.entries == 2 })
 	w := a.begin(1, 1)
 	await(t, "b hears what began", func() bool { return b.knows(1) == 1 })
-	if got := b.ledger.Active(1)[0]; got.Server != w.Server || got.Memory != w.Memory || got.HolderMemory != w.HolderMemory || len(got.Holders) != 2 {
+	if got := b.ledger.AttemptsOf(1)[0]; got.Server != w.Server || got.MemoryTokens != w.MemoryTokens || got.HolderTokens != w.HolderTokens || len(got.Holders) != 2 {
 		t.Errorf("b knows %+v", got)
 	}
 	a.ledger.FirstToken(w.ID, time.Now())
 	a.exchange.Teller().FirstToken(w.ID)
-	await(t, "b hears of the first token", func() bool { return b.ledger.Active(1)[0].Writing })
+	await(t, "b hears of the first token", func() bool { return b.ledger.AttemptsOf(1)[0].Decoding })
 	a.ledger.End(w.ID)
 	a.exchange.Teller().Ended(w.ID)
 	await(t, "b hears of the end", func() bool { return b.knows(1) == 0 })
@@ -207,10 +207,10 @@
 }
 
 func TestPackFitsDatagrams(t *testing.T) {
-	var began []placement.Work
+	var began []placement.Attempt
 	var ended []uint64
 	for seq := range uint64(300) {
-		began = append(began, placement.Work{ID: placement.WorkID{Owner: 1, Seq: seq + 1<<30}, Server: 1, Helpers: make([]uint64, 15), Holders: make([]uint64, 8)})
+		began = append(began, placement.Attempt{ID: placement.AttemptID{Owner: 1, Seq: seq + 1<<30}, Server: 1, Helpers: make([]uint64, 15), Holders: make([]uint64, 8)})
 		ended = append(ended, seq+1<<40)
 	}
 	messages := pack(1, began, ended, ended, time.Now())
--- a/peering/hello.go
+++ b/peering/hello.go
@@ -98,7 +98,7 @@
 	if len(peers) == 0 {
 		return
 	}
-	all := pack(x.cfg.Incarnation, x.cfg.Ledger.Active(x.cfg.Incarnation), nil, nil, now)
+	all := pack(x.cfg.Incarnation, x.cfg.Ledger.AttemptsOf(x.cfg.Incarnation), nil, nil, now)
 	if hello := x.hello(now); hello != nil {
 		all = append(all, &wirepb.WorkNews{Owner: x.cfg.Incarnation, Hello: hello})
 	}
--- a/peering/idle_test.go
+++ b/peering/idle_test.go
@@ -41,7 +41,7 @@
 	x := &Exchange{
 		cfg: Config{
 			Incarnation: 1, RPC: "own", Log: quiet.Logger(),
-			Ledger: placement.NewLedger(func(uint64) *placement.Engine { return nil }),
+			Ledger: placement.NewLedger(func(uint64) *placement.EngineProfile { return nil }),
 		},
 		last: map[uint64]time.Time{}, idle: map[uint64]bool{}, heard: metrics.NewCounter(),
 		peers: []Peer{{Incarnation: 2, RPC: "two"}, {Incarnation: 3, RPC: "three"}},
@@ -63,7 +63,7 @@
 	}
 	hear(&wirepb.WorkNews{Owner: 2, Began: []*wirepb.WorkBegan{{Seq: 1}}})
 	x.forgetSilent(now.Add(silentAfter + time.Second))
-	if len(x.last) != 0 || len(x.cfg.Ledger.Active(2)) != 0 {
-		t.Errorf("kept: last %v, works %v", x.last, x.cfg.Ledger.Active(2))
+	if len(x.last) != 0 || len(x.cfg.Ledger.AttemptsOf(2)) != 0 {
+		t.Errorf("kept: last %v, works %v", x.last, x.cfg.Ledger.AttemptsOf(2))
 	}
 }
--- a/peering/outbox.go
+++ b/peering/outbox.go
@@ -19,13 +19,13 @@
 // holders make 300 bytes of one.
 const maxBegan = 3
 
-// outbox collects the news of this entry. It implements placement.Teller.
+// outbox collects the news of this entry. It implements placement.AttemptPublisher.
 type outbox struct {
 	owner uint64
 	wake  chan struct{} // holds one token while there is news
 
 	mu    sync.Mutex // guards what follows
-	began []placement.Work
+	began []placement.Attempt
 	last  uint64 // the newest of all that began
 	died  []quarantine.Record
 	first []uint64
@@ -36,8 +36,8 @@
 	return &outbox{owner: owner, wake: make(chan struct{}, 1)}
 }
 
-// Began implements placement.Teller.
-func (o *outbox) Began(w placement.Work) {
+// Began implements placement.AttemptPublisher.
+func (o *outbox) Began(w placement.Attempt) {
 	o.mu.Lock()
 	o.began = append(o.began, w)
 	o.last = max(o.last, w.ID.Seq)
@@ -52,16 +52,16 @@
 	return o.last
 }
 
-// FirstToken implements placement.Teller.
-func (o *outbox) FirstToken(id placement.WorkID) {
+// FirstToken implements placement.AttemptPublisher.
+func (o *outbox) FirstToken(id placement.AttemptID) {
 	o.mu.Lock()
 	o.first = append(o.first, id.Seq)
 	o.mu.Unlock()
 	o.signal()
 }
 
-// Ended implements placement.Teller.
-func (o *outbox) Ended(id placement.WorkID) {
+// Ended implements placement.AttemptPublisher.
+func (o *outbox) Ended(id placement.AttemptID) {
 	o.mu.Lock()
 	o.ended = append(o.ended, id.Seq)
 	o.mu.Unlock()
@@ -111,7 +111,7 @@
 	maxBeat = 180
 )
 
-func pack(owner uint64, began []placement.Work, first, ended []uint64, now time.Time) []*wirepb.WorkNews {
+func pack(owner uint64, began []placement.Attempt, first, ended []uint64, now time.Time) []*wirepb.WorkNews {
 	var out []*wirepb.WorkNews
 	for len(began)+len(first)+len(ended) > 0 {
 		m := &wirepb.WorkNews{Owner: owner}
@@ -129,36 +129,36 @@
 	return out
 }
 
-func encode(w placement.Work, now time.Time) *wirepb.WorkBegan {
+func encode(w placement.Attempt, now time.Time) *wirepb.WorkBegan {
 	return &wirepb.WorkBegan{
 		Seq:          w.ID.Seq,
 		Server:       w.Server,
 		Helpers:      w.Helpers,
-		PartUs:       uint64(max(w.Part, 0).Microseconds()),
+		PartUs:       uint64(max(w.PartTime, 0).Microseconds()),
 		PartTokens:   uint32(w.PartTokens),
-		MemoryTokens: uint32(w.Memory),
-		PauseMs:      uint32(w.Pause.Milliseconds()),
-		FirstInMs:    uint32(max(w.FirstBy.Sub(now), 0).Milliseconds()),
+		MemoryTokens: uint32(w.MemoryTokens),
+		PauseMs:      uint32(w.PauseObjective.Milliseconds()),
+		FirstInMs:    uint32(max(w.FirstTokenDeadline.Sub(now), 0).Milliseconds()),
 		Weight:       float32(w.Weight),
-		Writing:      w.Writing,
+		Writing:      w.Decoding,
 		Holders:      w.Holders,
-		HolderTokens: uint32(w.HolderMemory),
+		HolderTokens: uint32(w.HolderTokens),
 	}
 }
 
-func decode(owner uint64, b *wirepb.WorkBegan, now time.Time) placement.Work {
-	return placement.Work{
-		ID:           placement.WorkID{Owner: owner, Seq: b.GetSeq()},
-		Server:       b.GetServer(),
-		Helpers:      b.GetHelpers(),
-		Part:         time.Duration(b.GetPartUs()) * time.Microsecond,
-		PartTokens:   int(b.GetPartTokens()),
-		Memory:       int(b.GetMemoryTokens()),
-		Pause:        time.Duration(b.GetPauseMs()) * time.Millisecond,
-		FirstBy:      now.Add(time.Duration(b.GetFirstInMs()) * time.Millisecond),
-		Weight:       float64(b.GetWeight()),
-		Writing:      b.GetWriting(),
-		Holders:      b.GetHolders(),
-		HolderMemory: int(b.GetHolderTokens()),
+func decode(owner uint64, b *wirepb.WorkBegan, now time.Time) placement.Attempt {
+	return placement.Attempt{
+		ID:                 placement.AttemptID{Owner: owner, Seq: b.GetSeq()},
+		Server:             b.GetServer(),
+		Helpers:            b.GetHelpers(),
+		PartTime:           time.Duration(b.GetPartUs()) * time.Microsecond,
+		PartTokens:         int(b.GetPartTokens()),
+		MemoryTokens:       int(b.GetMemoryTokens()),
+		PauseObjective:     time.Duration(b.GetPauseMs()) * time.Millisecond,
+		FirstTokenDeadline: now.Add(time.Duration(b.GetFirstInMs()) * time.Millisecond),
+		Weight:             float64(b.GetWeight()),
+		Decoding:           b.GetWriting(),
+		Holders:            b.GetHolders(),
+		HolderTokens:       int(b.GetHolderTokens()),
 	}
 }
--- a/peering/relay_test.go
+++ b/peering/relay_test.go
@@ -75,7 +75,7 @@
 	ids := []uint64{1, 2, 3}
 	for _, e := range zone {
 		for _, seq := range ids {
-			e.ledger.Begin(placement.Work{ID: placement.WorkID{Owner: silent, Seq: seq}, Server: 7}, time.Now())
+			e.ledger.Begin(placement.Attempt{ID: placement.AttemptID{Owner: silent, Seq: seq}, Server: 7}, time.Now())
 		}
 	}
 	teller.exchange.tell(&wirepb.WorkNews{Owner: silent, Ended: ids})
--- a/placement/apart.go
+++ b/placement/apart.go
@@ -46,7 +46,7 @@
 // read. Of all numbers of both it takes those with the least loss, which is infinite
 // if all servers together have no room now.
 func pickApart(q Query, options []option, now time.Time) choice {
-	whole := q.Engine.ReadTime(q.InputTokens, q.InputTokens)
+	whole := q.Engine.PrefillTime(q.InputTokens, q.InputTokens)
 	best := choice{loss: math.Inf(1)}
 	for _, readers := range spreads {
 		if readers < min(apartSpread, len(options)) || readers > len(options) {
--- a/placement/burst_test.go
+++ b/placement/burst_test.go
@@ -26,7 +26,7 @@
 
 // onTime reports whether its first token came within the objective.
 func (p *modelPrompt) onTime() bool {
-	return !p.firstAt.IsZero() && p.firstAt.Sub(p.came) <= p.query.Objective
+	return !p.firstAt.IsZero() && p.firstAt.Sub(p.came) <= p.query.FirstTokenObjective
 }
 
 // modelServer reads in passes, as engines do, on its own account: the play checks the
@@ -83,8 +83,8 @@
 		q := p.query
 		waited := b.now.Sub(p.came)
 		q.Engine, q.Waited = engine, waited
-		q.Objective -= waited
-		q.Left -= waited
+		q.FirstTokenObjective -= waited
+		q.TimeLeft -= waited
 		placed, answer := b.planner.Place(q, slices.Clone(b.candidates))
 		if answer != Placed {
 			left = append(left, p)
@@ -100,7 +100,7 @@
 	n := 1 + len(placed.Helpers)
 	p.unread = n
 	part := func() *modelPart {
-		return &modelPart{prompt: p, left: placed.Part, tokens: p.query.InputTokens / n}
+		return &modelPart{prompt: p, left: placed.PartTime, tokens: p.query.InputTokens / n}
 	}
 	first := b.named[placed.Server.Instance]
 	first.parts = append(first.parts, part())
@@ -158,7 +158,7 @@
 	var all []*modelPrompt
 	come := func(tokens int) {
 		p := &modelPrompt{query: review(tokens), came: b.now}
-		p.query.Left = 15 * time.Second
+		p.query.TimeLeft = 15 * time.Second
 		all, b.waiting = append(all, p), append(b.waiting, p)
 	}
 	for passed := time.Duration(0); passed < until; passed += time.Millisecond {
@@ -210,15 +210,15 @@
 	f := newFleet(servers)
 	for i, c := range f.candidates {
 		for n := range streamsEach {
-			f.ledger.Begin(Work{
-				ID: WorkID{Owner: uint64(i) + 1, Seq: uint64(n) + 1}, Server: ServerKey(c.Instance),
-				Memory: 6_400, Pause: 250 * time.Millisecond, Weight: 1.5, Writing: true,
+			f.ledger.Begin(Attempt{
+				ID: AttemptID{Owner: uint64(i) + 1, Seq: uint64(n) + 1}, Server: ServerKey(c.Instance),
+				MemoryTokens: 6_400, PauseObjective: 250 * time.Millisecond, Weight: 1.5, Decoding: true,
 			}, f.now)
 		}
 	}
 	q := review(200_000)
-	q.Engine, q.Left = engine, 15*time.Second
-	if _, answer := f.planner.Place(q, slices.Clone(f.candidates)); answer != Later {
+	q.Engine, q.TimeLeft = engine, 15*time.Second
+	if _, answer := f.planner.Place(q, slices.Clone(f.candidates)); answer != Deferred {
 		t.Errorf("answer %d, want the prompt to wait", answer)
 	}
 }
--- a/placement/choice.go
+++ b/placement/choice.go
@@ -24,11 +24,11 @@
 // engines for a second or more; in a burst of such prompts those that come last can't
 // be on time, and what they stop could. The longer it has waited, the more it may cost.
 func (c *choice) waits(q Query, price float64) bool {
-	if q.PauseObjective <= shortPause || q.Left < waitLeft {
+	if q.PauseObjective <= shortPause || q.TimeLeft < waitLeft {
 		return false
 	}
 	weight := WeightOf(q.InputTokens)
 	gain := q.due().gain(c.ready, weight)
-	waited := float64(q.Waited) / float64(q.Waited+q.Left)
+	waited := float64(q.Waited) / float64(q.Waited+q.TimeLeft)
 	return c.harm+price > gain+weight*LateLoss*(waitFirst+waitSlope*waited)
 }
--- a/placement/choice_bench_test.go
+++ b/placement/choice_bench_test.go
@@ -17,7 +17,7 @@
 			b.Run(fmt.Sprintf("%s/%d", name, servers), func(b *testing.B) {
 				f := newFleet(servers)
 				busy(f)
-				q.Engine, q.Left = engine, 15*time.Second
+				q.Engine, q.TimeLeft = engine, 15*time.Second
 				b.ReportAllocs()
 				for b.Loop() {
 					if p, answer := f.planner.Place(q, f.candidates); answer == Placed {
@@ -32,20 +32,20 @@
 // busy has every server write four streams and read a part for another.
 func busy(f *fleet) {
 	seq := uint64(0)
-	begin := func(w Work) {
+	begin := func(w Attempt) {
 		seq++
-		w.ID = WorkID{Owner: 2, Seq: seq}
+		w.ID = AttemptID{Owner: 2, Seq: seq}
 		f.ledger.Begin(w, f.now)
 	}
 	for i, c := range f.candidates {
 		key := ServerKey(c.Instance)
 		for range 4 {
-			begin(Work{Server: key, Memory: 6_000, Pause: 250 * time.Millisecond, Weight: 1.5, Writing: true})
+			begin(Attempt{Server: key, MemoryTokens: 6_000, PauseObjective: 250 * time.Millisecond, Weight: 1.5, Decoding: true})
 		}
 		next := ServerKey(f.candidates[(i+1)%len(f.candidates)].Instance)
-		begin(Work{
-			Server: key, Helpers: []uint64{next}, Part: 150 * time.Millisecond, PartTokens: 11_000, Memory: 22_000,
-			Pause: time.Second, FirstBy: f.now.Add(3 * time.Second), Weight: 3,
+		begin(Attempt{
+			Server: key, Helpers: []uint64{next}, PartTime: 150 * time.Millisecond, PartTokens: 11_000, MemoryTokens: 22_000,
+			PauseObjective: time.Second, FirstTokenDeadline: f.now.Add(3 * time.Second), Weight: 3,
 		})
 	}
 }
--- a/placement/congestion.go
+++ b/placement/congestion.go
@@ -32,7 +32,7 @@
 		sum += min(options[i].state.busyFor(now), backlogMost)
 	}
 	mean := sum / time.Duration(len(options))
-	reading := q.Engine.ReadTime(q.InputTokens, q.InputTokens)
+	reading := q.Engine.PrefillTime(q.InputTokens, q.InputTokens)
 	return readingWorth * ramp(mean, scarceFrom, scarceTo) * reading.Seconds()
 }
 
--- a/placement/cost.go
+++ b/placement/cost.go
@@ -91,13 +91,13 @@
 	total := delayPrice * f.delay.Seconds() * float64(len(s.works)) * float64(len(s.works))
 	for _, a := range s.works {
 		switch {
-		case a.Writing && a.late:
-			total += a.Weight * (latePressure*float64(f.pass)/float64(a.Pause) + (1-LateLoss)*ramp(f.pass, scale(a.Pause, leaveFrom), scale(a.Pause, leaveTo)))
-		case a.Writing:
-			total += pauseLoss(f.pass, a.Pause, a.Weight)
+		case a.Decoding && a.late:
+			total += a.Weight * (latePressure*float64(f.pass)/float64(a.PauseObjective) + (1-LateLoss)*ramp(f.pass, scale(a.PauseObjective, leaveFrom), scale(a.PauseObjective, leaveTo)))
+		case a.Decoding:
+			total += pauseLoss(f.pass, a.PauseObjective, a.Weight)
 		case f.behind:
 			// It will write when the part is read.
-			total += readingShare * pauseLoss(f.pass, a.Pause, a.Weight)
+			total += readingShare * pauseLoss(f.pass, a.PauseObjective, a.Weight)
 		}
 	}
 	return total + s.harmWaiting(f, now)
@@ -121,7 +121,7 @@
 
 // harm is what a part that is read later by a forecast's delay costs its prompt.
 func (p *part) harm(f forecast, now time.Time) float64 {
-	left := p.work.FirstBy.Sub(now)
+	left := p.work.FirstTokenDeadline.Sub(now)
 	if left <= 0 {
 		return 0 // late already
 	}
@@ -134,7 +134,7 @@
 func (s *serverState) company() int {
 	n := 0
 	for _, a := range s.works {
-		if a.Pause > 0 && a.Pause <= shortPause && !a.late {
+		if a.PauseObjective > 0 && a.PauseObjective <= shortPause && !a.late {
 			n++
 		}
 	}
@@ -145,7 +145,7 @@
 func (s *serverState) memory() int {
 	sum := s.held
 	for _, a := range s.works {
-		sum += a.Memory
+		sum += a.MemoryTokens
 	}
 	return sum
 }
--- a/placement/due_test.go
+++ b/placement/due_test.go
@@ -39,11 +39,11 @@
 		f.place(t, notice()).FirstToken()
 	}
 	q := review(380_000)
-	q.Engine, q.Left = engine, 15*time.Second
+	q.Engine, q.TimeLeft = engine, 15*time.Second
 	for _, waited := range []time.Duration{0, 3100 * time.Millisecond} {
 		late := q
-		late.Objective, late.Left, late.Waited = q.Objective-waited, q.Left-waited, waited
-		if _, answer := f.planner.Place(late, slices.Clone(f.candidates)); answer != Later {
+		late.FirstTokenObjective, late.TimeLeft, late.Waited = q.FirstTokenObjective-waited, q.TimeLeft-waited, waited
+		if _, answer := f.planner.Place(late, slices.Clone(f.candidates)); answer != Deferred {
 			t.Errorf("answer %d after %v, want that it waits", answer, waited)
 		}
 	}
@@ -53,9 +53,9 @@
 // with a limit of time is placed on a plain service. Cause: the time to write its answer was
 // asked of an engine that it doesn't have.
 func TestPlainServiceHasNoTimeToWrite(t *testing.T) {
-	q := Query{Objective: 200 * time.Millisecond, Left: 1200 * time.Millisecond}
-	if d := q.due(); d.end != q.Left {
-		t.Errorf("%v left of %v", d.end, q.Left)
+	q := Query{FirstTokenObjective: 200 * time.Millisecond, TimeLeft: 1200 * time.Millisecond}
+	if d := q.due(); d.end != q.TimeLeft {
+		t.Errorf("%v left of %v", d.end, q.TimeLeft)
 	}
 }
 
@@ -73,7 +73,7 @@
 		t.Fatalf("answer %d with all of its time left", answer)
 	}
 	alone.End()
-	if p, answer := f.planner.Place(withLeft(q, alone.Forecast/2), slices.Clone(f.candidates)); answer != TooLate || p.Forecast < alone.Forecast/2 {
+	if p, answer := f.planner.Place(withLeft(q, alone.Forecast/2), slices.Clone(f.candidates)); answer != DeadlineUnmeetable || p.Forecast < alone.Forecast/2 {
 		t.Errorf("answer %d with half of its forecast left, forecast %v", answer, p.Forecast)
 	}
 	if len(f.ledger.works) != 0 {
@@ -88,8 +88,8 @@
 func TestLongestAnswerRefusesNobody(t *testing.T) {
 	f := newFleet(3)
 	q := notice()
-	q.Engine, q.OutputTokens = engine, 3_400
-	written := engine.writeTime(q.OutputTokens)
+	q.Engine, q.MaxOutputTokens = engine, 3_400
+	written := engine.writeTime(q.MaxOutputTokens)
 	for _, left := range []time.Duration{written, written / 2, written / 8} {
 		if _, answer := f.planner.Place(withLeft(q, left), slices.Clone(f.candidates)); answer != Placed {
 			t.Errorf("answer %d with %v left", answer, left)
@@ -99,6 +99,6 @@
 
 // withLeft returns a query with so much of its caller's time left.
 func withLeft(q Query, left time.Duration) Query {
-	q.Left = left
+	q.TimeLeft = left
 	return q
 }
--- a/placement/engine.go
+++ b/placement/engine.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Engine is what operators declare of the engines of a service: how long their
+// EngineProfile is what operators declare of the engines of a service: how long their
 // steps take and what fits.
-type Engine struct {
+type EngineProfile struct {
 	Capacity     int // requests that it runs at a time
 	MemoryTokens int
 	Stride       int // steps of a pass that has writers
@@ -15,33 +15,33 @@
 	// StepTime is the time of a step, SequenceTime what each writer adds to it,
 	// ContextTime what each 1,000 tokens of a writer's context add.
 	StepTime, SequenceTime, ContextTime time.Duration
-	ReadPerSecond                       float64       // prompt tokens
+	PrefillRate                         float64       // prompt tokens
 	PairsTime                           time.Duration // for a million pairs of a token and any earlier one
 	HopTime                             time.Duration // added to a step where a prompt is spread
 }
 
 // joins reports whether engines read prompts and keep them for each other: operators
 // then declare what that costs a step.
-func (e *Engine) joins() bool { return e.HopTime > 0 }
+func (e *EngineProfile) joins() bool { return e.HopTime > 0 }
 
 // million scales PairsTime.
 const million = 1e6
 
-// ReadTime returns how long reading a part of a prompt takes on an engine that
+// PrefillTime returns how long reading a part of a prompt takes on an engine that
 // does nothing else: tokens of it, with share of the pairs of a prompt of whole
 // tokens.
-func (e *Engine) ReadTime(tokens, whole int) time.Duration {
-	if e == nil || e.ReadPerSecond <= 0 || whole <= 0 {
+func (e *EngineProfile) PrefillTime(tokens, whole int) time.Duration {
+	if e == nil || e.PrefillRate <= 0 || whole <= 0 {
 		return 0
 	}
-	linear := float64(tokens) / e.ReadPerSecond * float64(time.Second)
+	linear := float64(tokens) / e.PrefillRate * float64(time.Second)
 	pairs := float64(tokens) * float64(whole) / 2 / million * float64(e.PairsTime)
 	return time.Duration(linear + pairs)
 }
 
-// WritePass returns how long the steps of one pass take while writers write with
+// DecodePassTime returns how long the steps of one pass take while writers write with
 // contexts of so many tokens together.
-func (e *Engine) WritePass(writers int, context int) time.Duration {
+func (e *EngineProfile) DecodePassTime(writers int, context int) time.Duration {
 	if writers == 0 {
 		return 0
 	}
@@ -50,13 +50,13 @@
 }
 
 // Chunks returns how many steps read so many tokens.
-func (e *Engine) Chunks(tokens int) int {
+func (e *EngineProfile) Chunks(tokens int) int {
 	return int(math.Ceil(float64(tokens) / float64(max(1, e.Chunk))))
 }
 
 // writeTime is how long writing so many tokens takes an engine that does nothing else; 0
 // for a plain service.
-func (e *Engine) writeTime(tokens int) time.Duration {
+func (e *EngineProfile) writeTime(tokens int) time.Duration {
 	if e == nil {
 		return 0
 	}
--- a/placement/fleet_test.go
+++ b/placement/fleet_test.go
@@ -8,10 +8,10 @@
 )
 
 // largeEngine is like the engines of a fleet of hundreds: ten slots, and passes of 70 ms.
-var largeEngine = &Engine{
+var largeEngine = &EngineProfile{
 	Capacity: 10, MemoryTokens: 232_000, Stride: 68, Chunk: 2048,
 	StepTime: 1020 * time.Microsecond, SequenceTime: 2260 * time.Nanosecond, ContextTime: 4310 * time.Nanosecond,
-	ReadPerSecond: 206_000, PairsTime: 138 * time.Microsecond, HopTime: 75 * time.Microsecond,
+	PrefillRate: 206_000, PairsTime: 138 * time.Microsecond, HopTime: 75 * time.Microsecond,
 }
 
 // The kinds of prompts of such a fleet.
@@ -32,10 +32,10 @@
 
 // longEngine is like the engines of a fleet whose long prompts fill three quarters of one
 // of them: a pass reads 78,000 tokens, which of a prompt of 600,000 takes four seconds.
-var longEngine = &Engine{
+var longEngine = &EngineProfile{
 	Capacity: 12, MemoryTokens: 344_250, Stride: 38, Chunk: 2048,
 	StepTime: 1310 * time.Microsecond, SequenceTime: 917 * time.Nanosecond, ContextTime: 2130 * time.Nanosecond,
-	ReadPerSecond: 154_000, PairsTime: 162 * time.Microsecond, HopTime: 100 * time.Microsecond,
+	PrefillRate: 154_000, PairsTime: 162 * time.Microsecond, HopTime: 100 * time.Microsecond,
 }
 
 // The kinds of prompts of such a fleet.
@@ -158,7 +158,7 @@
 func TestPartIsConfirmedByTime(t *testing.T) {
 	f := newFleet(1)
 	key := ServerKey(f.candidates[0].Instance)
-	part := Work{ID: WorkID{Owner: 2, Seq: 1}, Server: key, Part: 100 * time.Millisecond, PartTokens: 4_000, Weight: 5}
+	part := Attempt{ID: AttemptID{Owner: 2, Seq: 1}, Server: key, PartTime: 100 * time.Millisecond, PartTokens: 4_000, Weight: 5}
 	f.ledger.Begin(part, f.now)
 	s := f.ledger.servers[key]
 	s.advance(engine, f.now.Add(100*time.Millisecond))
@@ -166,7 +166,7 @@
 		t.Errorf("%d parts unconfirmed when it should be read, want 1", len(s.unconfirmed))
 	}
 	const second = time.Second // the part that is read behind it
-	f.ledger.Begin(Work{ID: WorkID{Owner: 2, Seq: 2}, Server: key, Part: second, PartTokens: 4_000, Weight: 5}, f.now.Add(100*time.Millisecond))
+	f.ledger.Begin(Attempt{ID: AttemptID{Owner: 2, Seq: 2}, Server: key, PartTime: second, PartTokens: 4_000, Weight: 5}, f.now.Add(100*time.Millisecond))
 	s.advance(engine, f.now.Add(200*time.Millisecond+second+confirmTime))
 	if len(s.unconfirmed) != 0 {
 		t.Errorf("%d parts unconfirmed long after, want none", len(s.unconfirmed))
@@ -231,9 +231,9 @@
 	f := newFleet(1)
 	key := ServerKey(f.candidates[0].Instance)
 	const part, wait = 800 * time.Millisecond, 500 * time.Millisecond
-	f.ledger.Begin(Work{
-		ID: WorkID{Owner: 2, Seq: 1}, Server: key, Part: part, PartTokens: 35_000,
-		Pause: time.Second, FirstBy: f.now.Add(4 * time.Second), Weight: 22,
+	f.ledger.Begin(Attempt{
+		ID: AttemptID{Owner: 2, Seq: 1}, Server: key, PartTime: part, PartTokens: 35_000,
+		PauseObjective: time.Second, FirstTokenDeadline: f.now.Add(4 * time.Second), Weight: 22,
 	}, f.now)
 	s := f.ledger.servers[key]
 	due := f.now.Add(part + wait)
@@ -242,7 +242,7 @@
 	if harm := s.harmWaiting(long, due); harm <= 0 {
 		t.Errorf("a part of 3 s costs %.2f where one is late without a word", harm)
 	}
-	f.ledger.FirstToken(WorkID{Owner: 2, Seq: 1}, due)
+	f.ledger.FirstToken(AttemptID{Owner: 2, Seq: 1}, due)
 	if harm := s.harmWaiting(long, due); harm != 0 {
 		t.Errorf("it costs %.2f where that is read", harm)
 	}
--- a/placement/ledger.go
+++ b/placement/ledger.go
@@ -15,19 +15,19 @@
 // notes its own attempts in it and what its peers tell of theirs. It is safe for
 // concurrent use; mu guards all fields and is a leaf lock.
 type Ledger struct {
-	engineOf func(server uint64) *Engine
+	engineOf func(server uint64) *EngineProfile
 
 	mu      sync.Mutex
 	servers map[uint64]*serverState
-	works   map[WorkID]*activeWork
-	reading map[WorkID]*activeWork    // those of works whose prompts are being read
+	works   map[AttemptID]*activeWork
+	reading map[AttemptID]*activeWork // those of works whose prompts are being read
 	judged  time.Time                 // when those were last looked at
 	slow    map[*serverState]struct{} // that were found slow, until forgotten
 	others  arrivals                  // choices of other entries
 }
 
 type activeWork struct {
-	Work
+	Attempt
 	late    bool      // a pause was over the limit, so that a further one loses nothing
 	ready   time.Time // when its prompt should be read
 	changed time.Time
@@ -45,12 +45,12 @@
 	// unconfirmed parts should be read by now or when the pass ends, and may not be: no
 	// first token shows it yet.
 	unconfirmed []*part
-	works       []*activeWork  // that it answers, in order of their beginning
-	holds       map[WorkID]int // tokens that it keeps for others
-	held        int            // their sum
-	longLoad    float64        // share of time spent on long parts, decaying
-	longAt      time.Time      // when longLoad was last brought up to date
-	refusedAt   time.Time      // when it last refused an attempt
+	works       []*activeWork     // that it answers, in order of their beginning
+	holds       map[AttemptID]int // tokens that it keeps for others
+	held        int               // their sum
+	longLoad    float64           // share of time spent on long parts, decaying
+	longAt      time.Time         // when longLoad was last brought up to date
+	refusedAt   time.Time         // when it last refused an attempt
 	pace        pace
 	factor      float64       // of pace when advance was last called
 	read        time.Duration // declared time of all reading done so far
@@ -58,12 +58,12 @@
 
 // NewLedger returns an empty Ledger. engineOf returns the engine that a server is,
 // nil for a plain service or one that isn't known; it must not call the ledger.
-func NewLedger(engineOf func(server uint64) *Engine) *Ledger {
-	return &Ledger{engineOf: engineOf, servers: map[uint64]*serverState{}, works: map[WorkID]*activeWork{}, reading: map[WorkID]*activeWork{}, slow: map[*serverState]struct{}{}}
+func NewLedger(engineOf func(server uint64) *EngineProfile) *Ledger {
+	return &Ledger{engineOf: engineOf, servers: map[uint64]*serverState{}, works: map[AttemptID]*activeWork{}, reading: map[AttemptID]*activeWork{}, slow: map[*serverState]struct{}{}}
 }
 
 // Begin notes an attempt of another entry. A work that is known already changes nothing.
-func (l *Ledger) Begin(w Work, now time.Time) {
+func (l *Ledger) Begin(w Attempt, now time.Time) {
 	engine := l.engineOf(w.Server)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,18 +71,18 @@
 	l.beginLocked(w, engine, now)
 }
 
-func (l *Ledger) beginLocked(w Work, engine *Engine, now time.Time) {
+func (l *Ledger) beginLocked(w Attempt, engine *EngineProfile, now time.Time) {
 	if _, known := l.works[w.ID]; known {
 		return
 	}
-	a := &activeWork{Work: w, changed: now, begun: now}
+	a := &activeWork{Attempt: w, changed: now, begun: now}
 	l.works[w.ID] = a
 	for _, key := range w.Holders {
-		l.serverLocked(key).hold(w.ID, w.HolderMemory)
+		l.serverLocked(key).hold(w.ID, w.HolderTokens)
 	}
 	s := l.serverLocked(w.Server)
 	s.works = append(s.works, a)
-	if engine == nil || w.Writing {
+	if engine == nil || w.Decoding {
 		a.Helpers = nil
 		return
 	}
@@ -96,12 +96,12 @@
 // readLocked queues a part of a work on a server and notes what that does to the
 // others there: streams whose pause it makes too long have nothing more to lose,
 // and prompts that wait are read later.
-func (l *Ledger) readLocked(a *activeWork, s *serverState, helper bool, e *Engine, now time.Time) {
+func (l *Ledger) readLocked(a *activeWork, s *serverState, helper bool, e *EngineProfile, now time.Time) {
 	s.advance(e, now)
-	f := s.forecast(e, a.Part, a.PartTokens, helper, now)
+	f := s.forecast(e, a.PartTime, a.PartTokens, helper, now)
 	for _, other := range s.works {
-		if other.Writing {
-			other.late = other.late || other.Pause > 0 && f.pass > other.Pause
+		if other.Decoding {
+			other.late = other.late || other.PauseObjective > 0 && f.pass > other.PauseObjective
 		}
 	}
 	for _, p := range s.queue {
@@ -112,27 +112,27 @@
 	if ready.After(a.ready) {
 		a.ready = ready
 	}
-	p := &part{work: a, helper: helper, left: a.Part, tokens: a.PartTokens, server: s, ready: ready, factor: s.factor}
+	p := &part{work: a, helper: helper, left: a.PartTime, tokens: a.PartTokens, server: s, ready: ready, factor: s.factor}
 	a.parts = append(a.parts, p)
 	s.add(p, e, now)
 }
 
 // FirstToken notes that an attempt's prompt is read and its stream has begun.
-func (l *Ledger) FirstToken(id WorkID, now time.Time) {
+func (l *Ledger) FirstToken(id AttemptID, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.works[id]
-	if a == nil || a.Writing {
+	if a == nil || a.Decoding {
 		return
 	}
 	l.judgeFirst(a, now)
-	a.Writing = true
+	a.Decoding = true
 	a.changed = now
 	l.endReadingLocked(a)
 }
 
 // Event notes that events of a stream came, which end a pass of its server.
-func (l *Ledger) Event(id WorkID, server uint64, now time.Time) {
+func (l *Ledger) Event(id AttemptID, server uint64, now time.Time) {
 	engine := l.engineOf(server)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -159,13 +159,13 @@
 }
 
 // End notes the end of an attempt.
-func (l *Ledger) End(id WorkID) {
+func (l *Ledger) End(id AttemptID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.endLocked(id)
 }
 
-func (l *Ledger) endLocked(id WorkID) {
+func (l *Ledger) endLocked(id AttemptID) {
 	a := l.works[id]
 	if a == nil {
 		return
@@ -182,10 +182,10 @@
 	}
 }
 
-// Keep ends the attempts of an entry that it does not list, but for those that are
+// Reconcile ends the attempts of an entry that it does not list, but for those that are
 // newer than before, or than upTo, the newest one when the list was made (0: not said): what
 // began while the list was on its way isn't in it, however long that was.
-func (l *Ledger) Keep(owner uint64, active []uint64, upTo uint64, before time.Time) {
+func (l *Ledger) Reconcile(owner uint64, active []uint64, upTo uint64, before time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	listed := make(map[uint64]bool, len(active))
@@ -241,8 +241,8 @@
 	delete(l.slow, s)
 }
 
-// Forget drops servers that keep does not name and that have no work.
-func (l *Ledger) Forget(keep func(server uint64) bool) {
+// PruneServers drops servers that keep does not name and that have no work.
+func (l *Ledger) PruneServers(keep func(server uint64) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for key, s := range l.servers {
@@ -252,15 +252,15 @@
 	}
 }
 
-// Active returns the attempts of an entry, for a peer that starts with an empty
+// AttemptsOf returns the attempts of an entry, for a peer that starts with an empty
 // ledger.
-func (l *Ledger) Active(owner uint64) []Work {
+func (l *Ledger) AttemptsOf(owner uint64) []Attempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out []Work
+	var out []Attempt
 	for id, a := range l.works {
 		if id.Owner == owner {
-			out = append(out, a.Work)
+			out = append(out, a.Attempt)
 		}
 	}
 	return out
@@ -269,21 +269,21 @@
 func (l *Ledger) serverLocked(key uint64) *serverState {
 	s := l.servers[key]
 	if s == nil {
-		s = &serverState{holds: map[WorkID]int{}}
+		s = &serverState{holds: map[AttemptID]int{}}
 		l.servers[key] = s
 	}
 	return s
 }
 
 // hold notes that the server keeps so many tokens for a work that another answers.
-func (s *serverState) hold(id WorkID, tokens int) {
+func (s *serverState) hold(id AttemptID, tokens int) {
 	s.release(id)
 	s.holds[id] = tokens
 	s.held += tokens
 }
 
 // release ends that.
-func (s *serverState) release(id WorkID) {
+func (s *serverState) release(id AttemptID) {
 	s.held -= s.holds[id]
 	delete(s.holds, id)
 }
--- a/placement/pace.go
+++ b/placement/pace.go
@@ -96,14 +96,14 @@
 
 // notePass takes the end of a pass that a stream of the server shows, its events
 // come together.
-func (s *serverState) notePass(m *passMark, e *Engine, now time.Time) {
+func (s *serverState) notePass(m *passMark, e *EngineProfile, now time.Time) {
 	s.advance(e, now)
 	if m.at.IsZero() {
 		*m = passMark{at: now, read: s.read}
 		return
 	}
 	n, context := s.writers()
-	m.writing += e.WritePass(n, context)
+	m.writing += e.DecodePassTime(n, context)
 	if m.passes++; m.passes < pacePasses {
 		return
 	}
--- a/placement/pace_test.go
+++ b/placement/pace_test.go
@@ -88,7 +88,7 @@
 		t.Fatal("a first token after 0.9 s tells nothing")
 	}
 	for range pacePasses + 1 {
-		f.now = f.now.Add(engine.WritePass(1, 6_400))
+		f.now = f.now.Add(engine.DecodePassTime(1, 6_400))
 		p.Event()
 	}
 	if pace := f.paceOf("engine-00"); pace > 1 {
--- a/placement/packing_test.go
+++ b/placement/packing_test.go
@@ -76,9 +76,9 @@
 	full, other := f.candidates[0], f.candidates[1]
 	fill := func(c Candidate, n uint64) {
 		for i := range n {
-			f.ledger.Begin(Work{
-				ID: WorkID{Owner: ServerKey(c.Instance), Seq: i}, Server: ServerKey(c.Instance),
-				Memory: 6_400, Pause: 250 * time.Millisecond, Weight: 1.5, Writing: true,
+			f.ledger.Begin(Attempt{
+				ID: AttemptID{Owner: ServerKey(c.Instance), Seq: i}, Server: ServerKey(c.Instance),
+				MemoryTokens: 6_400, PauseObjective: 250 * time.Millisecond, Weight: 1.5, Decoding: true,
 			}, f.now)
 		}
 	}
--- a/placement/passes.go
+++ b/placement/passes.go
@@ -54,22 +54,22 @@
 // writers returns how many streams the server writes, and their contexts together.
 func (s *serverState) writers() (n, context int) {
 	for _, a := range s.works {
-		if a.Writing {
+		if a.Decoding {
 			n++
-			context += a.Memory
+			context += a.MemoryTokens
 		}
 	}
 	return n, context
 }
 
 // writePass is the writing part of a pass. Call advance before.
-func (s *serverState) writePass(e *Engine) time.Duration {
+func (s *serverState) writePass(e *EngineProfile) time.Duration {
 	n, context := s.writers()
-	return s.stretch(e.WritePass(n, context))
+	return s.stretch(e.DecodePassTime(n, context))
 }
 
 // passTokens is how many tokens one pass reads at most.
-func (s *serverState) passTokens(e *Engine, writing time.Duration) int {
+func (s *serverState) passTokens(e *EngineProfile, writing time.Duration) int {
 	if writing > 0 {
 		return max(1, e.Chunk) * max(1, e.Stride)
 	}
@@ -79,7 +79,7 @@
 // advance lets the passes end that should have ended by now, and begins the next
 // ones. Parts that helpers read go before a server's own, and of them the newest
 // goes first: a long part waits for every part that comes after it.
-func (s *serverState) advance(e *Engine, now time.Time) {
+func (s *serverState) advance(e *EngineProfile, now time.Time) {
 	s.factor = s.pace.now(now)
 	for len(s.queue) > 0 && !now.Before(s.passEnd) {
 		writing := s.writePass(e)
@@ -114,7 +114,7 @@
 }
 
 // add queues a part. Call advance before.
-func (s *serverState) add(p *part, e *Engine, now time.Time) {
+func (s *serverState) add(p *part, e *EngineProfile, now time.Time) {
 	s.noteLong(p.left, now)
 	if !now.Before(s.passEnd) { // nothing is being read
 		s.passEnd = now.Add(s.writePass(e) / 2)
@@ -127,7 +127,7 @@
 }
 
 // drop removes the parts of a work, which is read or has ended.
-func (s *serverState) drop(id WorkID) {
+func (s *serverState) drop(id AttemptID) {
 	s.queue = slices.DeleteFunc(s.queue, func(p *part) bool { return p.work.ID == id })
 	s.unconfirmed = slices.DeleteFunc(s.unconfirmed, func(p *part) bool { return p.work.ID == id })
 }
@@ -156,7 +156,7 @@
 }
 
 // forecast of a part of so much reading. Call advance first.
-func (s *serverState) forecast(e *Engine, length time.Duration, tokens int, helper bool, now time.Time) forecast {
+func (s *serverState) forecast(e *EngineProfile, length time.Duration, tokens int, helper bool, now time.Time) forecast {
 	writing := s.writePass(e)
 	wait := writing / 2
 	if now.Before(s.passEnd) {
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -17,29 +17,29 @@
 	owner  uint64
 	seq    atomic.Uint64
 	clock  func() time.Time
-	tell   Teller
+	tell   AttemptPublisher
 	policy Policy
 	// shuffle orders the servers before a choice, so that entries that choose at the
 	// same moment don't all take the first of those that are alike. Tests seed it.
 	shuffle func(n int, swap func(i, j int))
 }
 
-// Teller passes on to other entries what becomes of this entry's attempts. Its
+// AttemptPublisher passes on to other entries what becomes of this entry's attempts. Its
 // methods must not block.
-type Teller interface {
-	Began(w Work)
-	FirstToken(id WorkID)
-	Ended(id WorkID)
+type AttemptPublisher interface {
+	Began(w Attempt)
+	FirstToken(id AttemptID)
+	Ended(id AttemptID)
 }
 
 // NewPlanner returns a Planner with policy LeastLoss over a Ledger for the entry's
 // incarnation owner. tell may be nil.
-func NewPlanner(l *Ledger, owner uint64, clock func() time.Time, tell Teller) *Planner {
+func NewPlanner(l *Ledger, owner uint64, clock func() time.Time, tell AttemptPublisher) *Planner {
 	return &Planner{ledger: l, owner: owner, clock: clock, tell: tell, policy: LeastLoss, shuffle: rand.Shuffle}
 }
 
-// Use has the Planner choose by another policy. Call it before the first Place.
-func (p *Planner) Use(policy Policy) *Planner {
+// SetPolicy has the Planner choose by another policy. Call it before the first Place.
+func (p *Planner) SetPolicy(policy Policy) *Planner {
 	p.policy = policy
 	return p
 }
@@ -54,22 +54,22 @@
 	cost      float64 // for an answering server: harm, and its own burdens
 }
 
-// Answer says what became of a query.
-type Answer uint8
+// Decision says what became of a query.
+type Decision uint8
 
 // Answers.
 const (
-	Placed  Answer = iota
-	NoRoom         // no candidate, or not enough memory on all of them together
-	Later          // it would cost the others more than it gains; ask again soon
-	TooLate        // its answer would come after its caller's time; Forecast says when
+	Placed             Decision = iota
+	NoCapacity                  // no candidate, or not enough memory on all of them together
+	Deferred                    // it would cost the others more than it gains; ask again soon
+	DeadlineUnmeetable          // its answer would come after its caller's time; Forecast says when
 )
 
 // Place chooses the servers of a query and, if it is Placed, notes the attempt in
 // the ledger.
-func (p *Planner) Place(q Query, candidates []Candidate) (Placement, Answer) {
+func (p *Planner) Place(q Query, candidates []Candidate) (Placement, Decision) {
 	if len(candidates) == 0 {
-		return Placement{}, NoRoom
+		return Placement{}, NoCapacity
 	}
 	now := p.clock()
 	p.ledger.mu.Lock()
@@ -87,11 +87,11 @@
 	best := p.best(q, options, p.ledger.others.alike(now), now)
 	switch {
 	case math.IsInf(best.loss, 1):
-		return Placement{}, NoRoom
+		return Placement{}, NoCapacity
 	case q.tooLate(best.ready):
-		return Placement{Forecast: best.ready}, TooLate
+		return Placement{Forecast: best.ready}, DeadlineUnmeetable
 	case best.waits(q, readingPrice(q, options, now)):
-		return Placement{}, Later
+		return Placement{}, Deferred
 	}
 	return p.place(q, best, now), Placed
 }
@@ -125,35 +125,35 @@
 }
 
 // memory is what the query keeps at the answering server.
-func (q Query) memory() int { return q.InputTokens + q.OutputTokens }
+func (q Query) memory() int { return q.InputTokens + q.MaxOutputTokens }
 
 // place notes the attempt and tells the other entries.
 func (p *Planner) place(q Query, c choice, now time.Time) Placement {
 	first := c.first
-	w := Work{
-		ID:      WorkID{Owner: p.owner, Seq: p.seq.Add(1)},
-		Server:  first.key,
-		Pause:   q.PauseObjective,
-		FirstBy: now.Add(q.Objective),
-		Weight:  WeightOf(q.InputTokens),
+	w := Attempt{
+		ID:                 AttemptID{Owner: p.owner, Seq: p.seq.Add(1)},
+		Server:             first.key,
+		PauseObjective:     q.PauseObjective,
+		FirstTokenDeadline: now.Add(q.FirstTokenObjective),
+		Weight:             WeightOf(q.InputTokens),
 	}
-	out := Placement{Server: first.candidate, Urgency: q.urgencyLevel(), planner: p, work: w.ID, key: first.key}
+	out := Placement{Server: first.candidate, QueuePriority: q.urgencyLevel(), planner: p, work: w.ID, key: first.key}
 	if q.Engine != nil && q.InputTokens > 0 {
 		n := 1 + len(c.helpers)
 		w.PartTokens = q.InputTokens / n
-		w.Part = q.Engine.ReadTime(w.PartTokens, q.InputTokens)
-		w.Memory = q.memory()
-		out.Part = w.Part
-		out.Forecast, out.Harm = c.ready, c.harm
+		w.PartTime = q.Engine.PrefillTime(w.PartTokens, q.InputTokens)
+		w.MemoryTokens = q.memory()
+		out.PartTime = w.PartTime
+		out.Forecast, out.Interference = c.ready, c.harm
 		for _, h := range c.helpers {
 			w.Helpers = append(w.Helpers, h.key)
 			out.Helpers = append(out.Helpers, h.candidate)
 		}
 	}
 	if len(c.holders) > 0 {
-		w.HolderMemory = q.holderTokens(len(c.holders))
-		w.Memory = 0
-		out.HolderTokens = w.HolderMemory
+		w.HolderTokens = q.holderTokens(len(c.holders))
+		w.MemoryTokens = 0
+		out.HolderTokens = w.HolderTokens
 		for _, h := range c.holders {
 			w.Holders = append(w.Holders, h.key)
 			out.Holders = append(out.Holders, h.candidate)
--- a/placement/planner_test.go
+++ b/placement/planner_test.go
@@ -10,10 +10,10 @@
 )
 
 // engine is like the engines of our users: a prompt of 133,000 tokens takes 1.9 s.
-var engine = &Engine{
+var engine = &EngineProfile{
 	Capacity: 16, MemoryTokens: 232_000, Stride: 43, Chunk: 2048,
 	StepTime: 1020 * time.Microsecond, SequenceTime: 2260 * time.Nanosecond, ContextTime: 4310 * time.Nanosecond,
-	ReadPerSecond: 206_000, PairsTime: 138 * time.Microsecond, HopTime: 75 * time.Microsecond,
+	PrefillRate: 206_000, PairsTime: 138 * time.Microsecond, HopTime: 75 * time.Microsecond,
 }
 
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
@@ -28,7 +28,7 @@
 
 func newFleet(n int) *fleet {
 	f := &fleet{now: start}
-	f.ledger = NewLedger(func(uint64) *Engine { return engine })
+	f.ledger = NewLedger(func(uint64) *EngineProfile { return engine })
 	f.planner = NewPlanner(f.ledger, 1, func() time.Time { return f.now }, nil)
 	for i := range n {
 		name := fmt.Sprintf("engine-%02d", i)
@@ -48,11 +48,11 @@
 }
 
 func notice() Query {
-	return Query{InputTokens: 5_000, OutputTokens: 1_400, Objective: 300 * time.Millisecond, PauseObjective: 250 * time.Millisecond, Stream: true}
+	return Query{InputTokens: 5_000, MaxOutputTokens: 1_400, FirstTokenObjective: 300 * time.Millisecond, PauseObjective: 250 * time.Millisecond, Stream: true}
 }
 
 func review(tokens int) Query {
-	return Query{InputTokens: tokens, OutputTokens: 700, Objective: 3 * time.Second, PauseObjective: time.Second, Stream: true}
+	return Query{InputTokens: tokens, MaxOutputTokens: 700, FirstTokenObjective: 3 * time.Second, PauseObjective: time.Second, Stream: true}
 }
 
 func instances(p Placement) []string {
@@ -64,11 +64,11 @@
 }
 
 func TestReadTime(t *testing.T) {
-	whole := engine.ReadTime(133_000, 133_000)
+	whole := engine.PrefillTime(133_000, 133_000)
 	if whole < 1860*time.Millisecond || whole > 1870*time.Millisecond {
 		t.Errorf("133,000 tokens take %v, want 0.645 s and 1.22 s for the pairs", whole)
 	}
-	if part := engine.ReadTime(133_000/16, 133_000); part < whole/16-time.Millisecond || part > whole/16+time.Millisecond {
+	if part := engine.PrefillTime(133_000/16, 133_000); part < whole/16-time.Millisecond || part > whole/16+time.Millisecond {
 		t.Errorf("a sixteenth takes %v of %v", part, whole)
 	}
 }
@@ -92,7 +92,7 @@
 	p := f.place(t, review(133_000))
 	for _, name := range instances(p) {
 		if writing[name] {
-			t.Errorf("%s writes notices and reads %v of the review", name, p.Part)
+			t.Errorf("%s writes notices and reads %v of the review", name, p.PartTime)
 		}
 	}
 }
@@ -125,7 +125,7 @@
 		}
 	}
 	f.candidates = f.candidates[:2]
-	if _, answer := f.planner.Place(Query{Engine: engine, InputTokens: 600_000, Stream: true}, f.candidates); answer != NoRoom {
+	if _, answer := f.planner.Place(Query{Engine: engine, InputTokens: 600_000, Stream: true}, f.candidates); answer != NoCapacity {
 		t.Error("two engines have no room for 600,000 tokens")
 	}
 }
@@ -139,14 +139,14 @@
 		f.place(t, notice()).FirstToken()
 	}
 	q := review(380_000)
-	q.Engine, q.Left = engine, 15*time.Second
-	if _, answer := f.planner.Place(q, slices.Clone(f.candidates)); answer != Later {
+	q.Engine, q.TimeLeft = engine, 15*time.Second
+	if _, answer := f.planner.Place(q, slices.Clone(f.candidates)); answer != Deferred {
 		t.Fatalf("answer %d, want that it waits", answer)
 	}
 	if len(f.ledger.works) != 30 {
 		t.Error("a prompt that waits is noted as work")
 	}
-	q.Waited, q.Left = 11*time.Second, 4*time.Second
+	q.Waited, q.TimeLeft = 11*time.Second, 4*time.Second
 	if _, answer := f.planner.Place(q, slices.Clone(f.candidates)); answer != Placed {
 		t.Errorf("answer %d, but its caller's time runs out", answer)
 	}
@@ -186,8 +186,8 @@
 // Helpers read the newest part first: a part that is there already waits for the
 // new one, and the new one for nothing.
 func TestForecastFollowsTheOrderOfReading(t *testing.T) {
-	s := &serverState{holds: map[WorkID]int{}}
-	old := &activeWork{Work: Work{ID: WorkID{1, 1}, Weight: 10, FirstBy: start.Add(time.Second)}, ready: start.Add(500 * time.Millisecond)}
+	s := &serverState{holds: map[AttemptID]int{}}
+	old := &activeWork{Attempt: Attempt{ID: AttemptID{1, 1}, Weight: 10, FirstTokenDeadline: start.Add(time.Second)}, ready: start.Add(500 * time.Millisecond)}
 	s.add(&part{work: old, helper: true, left: 500 * time.Millisecond, tokens: 40_000}, engine, start)
 	helper := s.forecast(engine, 300*time.Millisecond, 20_000, true, start)
 	own := s.forecast(engine, 300*time.Millisecond, 20_000, false, start)
@@ -216,13 +216,13 @@
 // Sequence: peers tell of work; one falls silent, one's news are lost.
 // Cause: only the end of a work took it off the ledger.
 func TestWorkOfOthersIsForgotten(t *testing.T) {
-	l := NewLedger(func(uint64) *Engine { return engine })
+	l := NewLedger(func(uint64) *EngineProfile { return engine })
 	for owner := range uint64(2) {
 		for seq := range uint64(3) {
-			l.Begin(Work{ID: WorkID{owner, seq}, Server: 7, Helpers: []uint64{8}, Part: time.Second, PartTokens: 1, Memory: 5}, start)
+			l.Begin(Attempt{ID: AttemptID{owner, seq}, Server: 7, Helpers: []uint64{8}, PartTime: time.Second, PartTokens: 1, MemoryTokens: 5}, start)
 		}
 	}
-	l.Keep(0, []uint64{1}, 0, start.Add(time.Second))
+	l.Reconcile(0, []uint64{1}, 0, start.Add(time.Second))
 	l.EndOwner(1)
 	if n := len(l.works); n != 1 {
 		t.Errorf("%d works are left, want 1", n)
@@ -230,9 +230,9 @@
 	if m := l.servers[7].memory(); m != 5 {
 		t.Errorf("memory %d, want 5", m)
 	}
-	l.Begin(Work{ID: WorkID{0, 9}, Server: 7}, start.Add(2*time.Second))
-	l.Keep(0, []uint64{1}, 0, start.Add(time.Second))
-	if l.works[WorkID{0, 9}] == nil {
+	l.Begin(Attempt{ID: AttemptID{0, 9}, Server: 7}, start.Add(2*time.Second))
+	l.Reconcile(0, []uint64{1}, 0, start.Add(time.Second))
+	if l.works[AttemptID{0, 9}] == nil {
 		t.Error("what began after the beat was listed is ended by it")
 	}
 }
@@ -314,13 +314,13 @@
 // A list of an entry's attempts that was held up on its way, by an entry that passes it on
 // and was frozen, ends attempts that began since.
 func TestLateListEndsNothingNewer(t *testing.T) {
-	l := NewLedger(func(uint64) *Engine { return nil })
+	l := NewLedger(func(uint64) *EngineProfile { return nil })
 	for seq := range uint64(4) {
-		l.Begin(Work{ID: WorkID{Owner: 7, Seq: seq + 1}, Server: 1}, start)
+		l.Begin(Attempt{ID: AttemptID{Owner: 7, Seq: seq + 1}, Server: 1}, start)
 	}
-	l.Keep(7, []uint64{2}, 3, start.Add(time.Minute))
+	l.Reconcile(7, []uint64{2}, 3, start.Add(time.Minute))
 	var left []uint64
-	for _, w := range l.Active(7) {
+	for _, w := range l.AttemptsOf(7) {
 		left = append(left, w.ID.Seq)
 	}
 	slices.Sort(left)
--- a/placement/play_test.go
+++ b/placement/play_test.go
@@ -38,7 +38,7 @@
 
 // playFleet is the play.
 type playFleet struct {
-	engine  *Engine
+	engine  *EngineProfile
 	now     time.Time
 	seq     int
 	events  playEvents
@@ -95,7 +95,7 @@
 	running bool // a pass goes on
 }
 
-func newPlayFleet(e *Engine, seed uint64, entries, servers int) *playFleet {
+func newPlayFleet(e *EngineProfile, seed uint64, entries, servers int) *playFleet {
 	f := &playFleet{
 		engine: e, now: start, random: rand.New(rand.NewPCG(seed, 11)), servers: map[string]*playServer{},
 		transit: 8 * time.Millisecond, news: 3 * time.Millisecond,
@@ -106,7 +106,7 @@
 		f.servers[c.Instance] = &playServer{fleet: f}
 	}
 	for i := range entries {
-		entry := &playEntry{fleet: f, ledger: NewLedger(func(uint64) *Engine { return e })}
+		entry := &playEntry{fleet: f, ledger: NewLedger(func(uint64) *EngineProfile { return e })}
 		entry.planner = NewPlanner(entry.ledger, uint64(i)+1, func() time.Time { return f.now }, entry)
 		entry.planner.shuffle = f.random.Shuffle
 		f.entries = append(f.entries, entry)
@@ -141,17 +141,17 @@
 }
 
 // Began implements Teller.
-func (e *playEntry) Began(w Work) {
+func (e *playEntry) Began(w Attempt) {
 	e.tellOthers(func(l *Ledger, now time.Time) { l.Begin(w, now) })
 }
 
 // FirstToken implements Teller.
-func (e *playEntry) FirstToken(id WorkID) {
+func (e *playEntry) FirstToken(id AttemptID) {
 	e.tellOthers(func(l *Ledger, now time.Time) { l.FirstToken(id, now) })
 }
 
 // Ended implements Teller.
-func (e *playEntry) Ended(id WorkID) {
+func (e *playEntry) Ended(id AttemptID) {
 	e.tellOthers(func(l *Ledger, _ time.Time) { l.End(id) })
 }
 
@@ -169,18 +169,18 @@
 	q := c.query
 	q.Engine = f.engine
 	q.Waited = f.now.Sub(c.came)
-	q.Objective -= q.Waited
-	left := q.Left - q.Waited
+	q.FirstTokenObjective -= q.Waited
+	left := q.TimeLeft - q.Waited
 	if left <= 0 {
 		c.gaveUp = true
 		return
 	}
-	q.Left = left
+	q.TimeLeft = left
 	if f.hidesEnd {
-		q.Left = 0
+		q.TimeLeft = 0
 	}
 	placed, answer := e.planner.Place(q, slices.Clone(f.options))
-	if answer == TooLate {
+	if answer == DeadlineUnmeetable {
 		c.gaveUp = true
 		return
 	}
@@ -193,7 +193,7 @@
 	n := 1 + len(placed.Helpers)
 	c.unread = n
 	part := func(helper bool) *playPart {
-		return &playPart{caller: c, left: placed.Part, tokens: c.query.InputTokens / n, helper: helper}
+		return &playPart{caller: c, left: placed.PartTime, tokens: c.query.InputTokens / n, helper: helper}
 	}
 	f.after(f.transit, func() {
 		f.servers[placed.Server.Instance].admit(c, part(false))
@@ -253,7 +253,7 @@
 	for _, c := range s.writing {
 		context += c.query.memory()
 	}
-	length, room := e.WritePass(len(s.writing), context), e.Chunk*e.Stride
+	length, room := e.DecodePassTime(len(s.writing), context), e.Chunk*e.Stride
 	if len(s.writing) == 0 {
 		length, room = idleSteps*e.StepTime, e.Chunk*idleSteps
 	}
@@ -321,13 +321,13 @@
 	if len(s.queued) > 0 {
 		next := s.queued[0]
 		s.queued = s.queued[1:]
-		s.admit(next, &playPart{caller: next, left: next.placed.Part, tokens: next.query.InputTokens / (1 + len(next.placed.Helpers))})
+		s.admit(next, &playPart{caller: next, left: next.placed.PartTime, tokens: next.query.InputTokens / (1 + len(next.placed.Helpers))})
 	}
 }
 
 // onTime reports whether a caller got its first token and all events in time.
 func (c *playCaller) onTime() bool {
-	return c.done && c.firstAt.Sub(c.came) <= c.query.Objective && c.pause <= c.query.PauseObjective
+	return c.done && c.firstAt.Sub(c.came) <= c.query.FirstTokenObjective && c.pause <= c.query.PauseObjective
 }
 
 // earns is what a caller got of its weight: all of it in time, a part of it later.
@@ -374,7 +374,7 @@
 	if c.onTime() {
 		r.onTime++
 	}
-	if c.firstAt.Sub(c.came) > c.query.Objective {
+	if c.firstAt.Sub(c.came) > c.query.FirstTokenObjective {
 		r.lateFirst++
 	}
 	if c.pause > c.query.PauseObjective {
@@ -413,8 +413,8 @@
 	for at := time.Duration(0); at < lasts; at += time.Duration(f.random.ExpFloat64() / k.perSecond * float64(time.Second)) {
 		tokens := int(math.Exp(math.Log(k.median) + k.sigma*f.random.NormFloat64()))
 		q := Query{
-			InputTokens: min(max(tokens, k.shortest), k.longest), OutputTokens: int(k.events) * f.engine.Stride,
-			Objective: k.objective, PauseObjective: k.pause, Left: k.patience, Stream: true,
+			InputTokens: min(max(tokens, k.shortest), k.longest), MaxOutputTokens: int(k.events) * f.engine.Stride,
+			FirstTokenObjective: k.objective, PauseObjective: k.pause, TimeLeft: k.patience, Stream: true,
 		}
 		events := max(1, int(k.events*(0.4+1.2*f.random.Float64())))
 		f.after(begins+at, func() { f.come(q, events) })
--- a/placement/policy_test.go
+++ b/placement/policy_test.go
@@ -7,7 +7,7 @@
 // Cause: the choice did not look at the policy.
 func TestLeastRequestsIsTheBaseline(t *testing.T) {
 	f := newFleet(4)
-	f.planner.Use(LeastRequests)
+	f.planner.SetPolicy(LeastRequests)
 	taken := map[string]int{}
 	for range 4 {
 		p := f.place(t, review(130_000))
--- a/placement/query.go
+++ b/placement/query.go
@@ -16,15 +16,15 @@
 
 // Query is a request to be placed.
 type Query struct {
-	Engine         *Engine // nil: a plain service
-	InputTokens    int
-	OutputTokens   int           // the most that its answer may hold
-	Objective      time.Duration // what is left of it
-	PauseObjective time.Duration
-	Left           time.Duration // of the caller's time; 0: not known
-	Waited         time.Duration // since it came
-	Rank           int           // of its workspace or route; 0 is first
-	Stream         bool
+	Engine              *EngineProfile // nil: a plain service
+	InputTokens         int
+	MaxOutputTokens     int           // the most that its answer may hold
+	FirstTokenObjective time.Duration // what is left of it
+	PauseObjective      time.Duration
+	TimeLeft            time.Duration // of the caller's time; 0: not known
+	Waited              time.Duration // since it came
+	Priority            int           // of its workspace or route; 0 is first
+	Stream              bool
 }
 
 // writtenShare is the part of the most that an answer may hold that it holds in the mean.
@@ -34,17 +34,17 @@
 // answer is still to be written: half of the most that it may hold, without other streams
 // beside it.
 func (q Query) due() due {
-	if q.Left == 0 {
-		return due{objective: q.Objective}
+	if q.TimeLeft == 0 {
+		return due{objective: q.FirstTokenObjective}
 	}
-	return due{objective: q.Objective, end: q.Left - scale(q.Engine.writeTime(q.OutputTokens), writtenShare)}
+	return due{objective: q.FirstTokenObjective, end: q.TimeLeft - scale(q.Engine.writeTime(q.MaxOutputTokens), writtenShare)}
 }
 
 // tooLate reports whether a first token that is forecast after so long will come after the
 // caller's time, also if the forecast is off. What is written behind it doesn't count: an
 // answer may be a few tokens long.
 func (q Query) tooLate(after time.Duration) bool {
-	return q.Left > 0 && after > scale(q.Left, surelyLate)
+	return q.TimeLeft > 0 && after > scale(q.TimeLeft, surelyLate)
 }
 
 // Levels of urgency for the engines' own queues, where 0 is first and 9 last. Short
@@ -65,7 +65,7 @@
 	if q.PauseObjective > 0 && q.PauseObjective <= shortPause {
 		level = levelShort
 	}
-	return level + min(max(q.Rank, 0), rankLevels)
+	return level + min(max(q.Priority, 0), rankLevels)
 }
 
 // Placement is where an attempt runs.
@@ -74,16 +74,16 @@
 	Helpers []Candidate
 	// Holders keep the prompt, HolderTokens each, where no server has room for it
 	// alone; the first of them is Server. The others are among Helpers too.
-	Holders      []Candidate
-	HolderTokens int
-	Urgency      int // for the engine; negative: not said
+	Holders       []Candidate
+	HolderTokens  int
+	QueuePriority int // for the engine; negative: not said
 	// What the choice was made on, for the log.
-	Part     time.Duration // reading on each server
-	Forecast time.Duration // until the first token
-	Harm     float64       // what the others there were expected to lose
-	planner  *Planner
-	work     WorkID
-	key      uint64
+	PartTime     time.Duration // reading on each server
+	Forecast     time.Duration // until the first token
+	Interference float64       // what the others there were expected to lose
+	planner      *Planner
+	work         AttemptID
+	key          uint64
 }
 
 // End tells that the attempt is over.
@@ -122,7 +122,7 @@
 	return p.key
 }
 
-// NoMemory tells that the i-th holder had no room.
-func (p Placement) NoMemory(i int) {
+// HolderRefused tells that the i-th holder had no room.
+func (p Placement) HolderRefused(i int) {
 	p.planner.ledger.Refused(ServerKey(p.Holders[i].Instance), p.planner.clock())
 }
--- a/placement/spread.go
+++ b/placement/spread.go
@@ -12,7 +12,7 @@
 
 // pickEngines tries all spreads and takes the one with the least loss.
 func pickEngines(q Query, options []option, alike float64, now time.Time) choice {
-	whole := q.Engine.ReadTime(q.InputTokens, q.InputTokens)
+	whole := q.Engine.PrefillTime(q.InputTokens, q.InputTokens)
 	best := choice{loss: math.Inf(1)}
 	for _, n := range spreads {
 		if n > len(options) || n > 1 && (!q.Engine.joins() || whole/time.Duration(n) < leastPart) {
--- a/placement/work.go
+++ b/placement/work.go
@@ -4,29 +4,29 @@
 	"time"
 )
 
-// WorkID names one attempt across entries.
-type WorkID struct {
+// AttemptID names one attempt across entries.
+type AttemptID struct {
 	Owner uint64 // incarnation of the entry that sent it
 	Seq   uint64 // of that entry
 }
 
-// Work is one attempt on one or more servers, as entries tell each other of it.
-type Work struct {
-	ID      WorkID
+// Attempt is one attempt on one or more servers, as entries tell each other of it.
+type Attempt struct {
+	ID      AttemptID
 	Server  uint64   // ServerKey of the server that answers
 	Helpers []uint64 // ServerKey of those that read parts
-	// Part is how long each of them reads, and PartTokens how much.
-	Part       time.Duration
-	PartTokens int
-	Memory     int // tokens kept at Server until the attempt ends
+	// PartTime is how long each of them reads, and PartTokens how much.
+	PartTime     time.Duration
+	PartTokens   int
+	MemoryTokens int // tokens kept at Server until the attempt ends
 	// Holders keep parts of a prompt that Server has no room for, HolderMemory
 	// tokens each, until the attempt ends.
-	Holders      []uint64
-	HolderMemory int
-	Pause        time.Duration // longest pause between events on time; 0: no stream
-	FirstBy      time.Time     // when the first token is still on time
-	Weight       float64       // what being on time is worth, beside other work
-	Writing      bool          // the first token has come
+	Holders            []uint64
+	HolderTokens       int
+	PauseObjective     time.Duration // longest pause between events on time; 0: no stream
+	FirstTokenDeadline time.Time     // when the first token is still on time
+	Weight             float64       // what being on time is worth, beside other work
+	Decoding           bool          // the first token has come
 }
 
 // weightTokens is the prompt that is worth as much as the fixed part of a request.
--- a/reservation/held.go
+++ b/reservation/held.go
@@ -11,8 +11,8 @@
 	"github.com/briarturn/briarturn/internal/sleep"
 )
 
-// Held is memory on several engines. Release it.
-type Held struct {
+// Reservation is memory on several engines. Release it.
+type Reservation struct {
 	Parts    []Part
 	reserver *Reserver
 	stop     context.CancelFunc
@@ -26,9 +26,9 @@
 }
 
 // hold keeps what was reserved until Release.
-func (r *Reserver) hold(ctx context.Context, request string, parts []Part) *Held {
+func (r *Reserver) hold(ctx context.Context, request string, parts []Part) *Reservation {
 	keeping, stop := context.WithCancel(ctx)
-	h := &Held{Parts: parts, reserver: r, stop: stop, since: time.Now()}
+	h := &Reservation{Parts: parts, reserver: r, stop: stop, since: time.Now()}
 	h.unused, h.sayUnused = context.WithCancel(ctx)
 	h.log = r.log.WithFields(logrus.Fields{"request": request, "reservations": names(parts)})
 	h.log.WithField("tokens_each", parts[0].Tokens).Info("memory reserved")
@@ -48,7 +48,7 @@
 
 // keep renews the parts until ctx ends, then releases them. One goroutine does
 // both: a renewal that overtakes the release would set the memory aside once more.
-func (h *Held) keep(ctx context.Context) {
+func (h *Reservation) keep(ctx context.Context) {
 	h.renew(ctx)
 	for _, p := range h.Parts {
 		h.reserver.pending.Go(func() { h.reserver.release(p) })
@@ -62,7 +62,7 @@
 
 // renew renews the parts until ctx ends. A part that can't be renewed runs out, and
 // the engine then cuts the request, which shows as a broken stream.
-func (h *Held) renew(ctx context.Context) {
+func (h *Reservation) renew(ctx context.Context) {
 	for sleep.For(ctx, renewEvery) {
 		// Side by side: engines that don't answer would else take longer, one after the
 		// other, than the leases of the others last.
@@ -74,7 +74,7 @@
 	}
 }
 
-func (h *Held) renewPart(ctx context.Context, p *Part) {
+func (h *Reservation) renewPart(ctx context.Context, p *Part) {
 	err := h.reserver.order(ctx, func(ctx context.Context) error { return h.reserver.reserve(ctx, p) })
 	if err != nil && ctx.Err() == nil {
 		h.log.WithError(err).WithFields(logrus.Fields{"server": p.Engine.Address, "reservation": p.ID}).
@@ -83,7 +83,7 @@
 }
 
 // FirstToken notes that the prompt uses the memory: its first token has come.
-func (h *Held) FirstToken() {
+func (h *Reservation) FirstToken() {
 	h.first.Do(func() {
 		h.used.Store(true)
 		h.reserver.tally.firstUse.Update(time.Since(h.since).Milliseconds())
@@ -92,4 +92,4 @@
 
 // Release ends the reservations, in the background. It may be called more than
 // once.
-func (h *Held) Release() { h.stop() }
+func (h *Reservation) Release() { h.stop() }
--- a/reservation/reservation.go
+++ b/reservation/reservation.go
@@ -27,8 +27,8 @@
 const (
 	// ErrNoMemory: the engine has no room now. Nothing was reserved.
 	ErrNoMemory = errors.ConstError("engine has no free memory")
-	// ErrUnknown: no answer; the reservation may be held.
-	ErrUnknown = errors.ConstError("outcome of the order unknown")
+	// ErrOutcomeUnknown: no answer; the reservation may be held.
+	ErrOutcomeUnknown = errors.ConstError("outcome of the order unknown")
 	// ErrUnused: no prompt has begun to use the memory in time. It is the cause of
 	// the end of a Held's Context.
 	ErrUnused = errors.ConstError("reserved memory is not used")
@@ -49,27 +49,27 @@
 	releasePause = 200 * time.Millisecond
 )
 
-// Use is what an engine says of a reservation.
-type Use string
+// Usage is what an engine says of a reservation.
+type Usage string
 
 // Uses of a reservation.
 const (
-	UseUnknown Use = "unknown" // the engine didn't say
-	Unused     Use = "unused"  // reserved, and no prompt has begun to fill it
-	InUse      Use = "in_use"  // a prompt is kept in it, or being read into it
-	NotHeld    Use = "not_held"
+	UsageUnknown Usage = "unknown" // the engine didn't say
+	Unused       Usage = "unused"  // reserved, and no prompt has begun to fill it
+	InUse        Usage = "in_use"  // a prompt is kept in it, or being read into it
+	NotHeld      Usage = "not_held"
 )
 
-// Engines gives orders to engines.
-type Engines interface {
+// EngineClient gives orders to engines.
+type EngineClient interface {
 	// Reserve sets tokens aside under an id, or renews what is under it. The error
 	// is ErrNoMemory or ErrUnknown.
 	Reserve(ctx context.Context, e Engine, id string, tokens int, hold time.Duration) error
 	// Release ends a reservation; one that doesn't exist is no error.
 	Release(ctx context.Context, e Engine, id string) error
-	// Use tells whether a reservation is in use, as of some hundred milliseconds ago.
-	// With an error it is UseUnknown.
-	Use(ctx context.Context, e Engine, id string) (Use, error)
+	// Usage tells whether a reservation is in use, as of some hundred milliseconds ago.
+	// With an error it is UsageUnknown.
+	Usage(ctx context.Context, e Engine, id string) (Usage, error)
 }
 
 // Engine names an engine to an Engines.
@@ -87,7 +87,7 @@
 
 // Reserver makes reservations. It is safe for concurrent use.
 type Reserver struct {
-	engines Engines
+	engines EngineClient
 	owner   string
 	seq     atomic.Uint64
 	log     logrus.FieldLogger
@@ -96,14 +96,14 @@
 }
 
 // New returns a Reserver whose ids begin with owner, which no other process uses.
-func New(engines Engines, owner uint64, log logrus.FieldLogger, r metrics.Registry) *Reserver {
+func New(engines EngineClient, owner uint64, log logrus.FieldLogger, r metrics.Registry) *Reserver {
 	return &Reserver{engines: engines, owner: strconv.FormatUint(owner, 36), log: log, tally: newTally(r)}
 }
 
 // Acquire reserves all parts or none. The error is that of a part that could not be
 // had; failed is its index. Lines about the reservations carry request, the id of the
 // request that they are for.
-func (r *Reserver) Acquire(ctx context.Context, request string, parts []Part) (held *Held, failed int, err error) {
+func (r *Reserver) Acquire(ctx context.Context, request string, parts []Part) (held *Reservation, failed int, err error) {
 	for i := range parts {
 		parts[i].ID = r.owner + "-" + strconv.FormatUint(r.seq.Add(1), 36)
 	}
--- a/reservation/reservation_test.go
+++ b/reservation/reservation_test.go
@@ -20,12 +20,12 @@
 	held     map[string]time.Time // by address and id, when the lease ends
 	lose     map[string]int       // answers to lose, by address
 	orders   int
-	failures int              // releases whose answers are lost
-	uses     map[string][]Use // what is said next of a reservation, by address; then InUse
-	asked    []string         // addresses, in order
-	during   func()           // called while a question is answered
-	mute     map[string]bool  // by address: renewals have no answer
-	lapsed   []string         // addresses where a lease ended before its renewal
+	failures int                // releases whose answers are lost
+	uses     map[string][]Usage // what is said next of a reservation, by address; then InUse
+	asked    []string           // addresses, in order
+	during   func()             // called while a question is answered
+	mute     map[string]bool    // by address: renewals have no answer
+	lapsed   []string           // addresses where a lease ended before its renewal
 }
 
 func (e *engines) Reserve(ctx context.Context, engine Engine, id string, tokens int, hold time.Duration) error {
@@ -38,7 +38,7 @@
 		e.mu.Unlock()
 		<-ctx.Done()
 		e.mu.Lock()
-		return ErrUnknown
+		return ErrOutcomeUnknown
 	}
 	if renewed && !time.Now().Before(until) {
 		e.lapsed = append(e.lapsed, engine.Address)
@@ -51,7 +51,7 @@
 	e.held[key] = time.Now().Add(hold)
 	if e.lose[engine.Address] > 0 {
 		e.lose[engine.Address]--
-		return ErrUnknown
+		return ErrOutcomeUnknown
 	}
 	return nil
 }
@@ -62,13 +62,13 @@
 	e.orders++
 	if e.failures > 0 {
 		e.failures--
-		return ErrUnknown
+		return ErrOutcomeUnknown
 	}
 	delete(e.held, engine.Address+"/"+id)
 	return nil
 }
 
-func (e *engines) Use(_ context.Context, engine Engine, id string) (Use, error) {
+func (e *engines) Usage(_ context.Context, engine Engine, id string) (Usage, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.asked = append(e.asked, engine.Address)
@@ -83,8 +83,8 @@
 		return InUse, nil
 	}
 	e.uses[engine.Address] = next[1:]
-	if next[0] == UseUnknown {
-		return UseUnknown, errors.New("no answer")
+	if next[0] == UsageUnknown {
+		return UsageUnknown, errors.New("no answer")
 	}
 	return next[0], nil
 }
@@ -166,7 +166,7 @@
 		e.lose["c"] = 1
 		e.failures = 2
 		r := New(e, 1, quiet.Logger(), metrics.NewRegistry())
-		if _, _, err := r.Acquire(t.Context(), "request", parts(60)); !errors.Is(err, ErrUnknown) {
+		if _, _, err := r.Acquire(t.Context(), "request", parts(60)); !errors.Is(err, ErrOutcomeUnknown) {
 			t.Errorf("error %v", err)
 		}
 		r.Wait()
--- a/reservation/use.go
+++ b/reservation/use.go
@@ -28,7 +28,7 @@
 // all engines that keep the prompt say whether it has begun. Memory that nobody uses
 // would else be kept, and the caller kept waiting, for as long as the caller has
 // patience: twelve seconds in place of two.
-func (h *Held) watchUse(ctx context.Context) {
+func (h *Reservation) watchUse(ctx context.Context) {
 	if !sleep.For(ctx, useExpected) {
 		return
 	}
@@ -53,14 +53,14 @@
 	}
 }
 
-func (h *Held) ask(ctx context.Context, p Part) Use {
-	use := UseUnknown
+func (h *Reservation) ask(ctx context.Context, p Part) Usage {
+	use := UsageUnknown
 	err := h.reserver.order(ctx, func(ctx context.Context) (err error) {
-		use, err = h.reserver.engines.Use(ctx, p.Engine, p.ID)
+		use, err = h.reserver.engines.Usage(ctx, p.Engine, p.ID)
 		return err
 	})
 	if ctx.Err() != nil {
-		return UseUnknown
+		return UsageUnknown
 	}
 	line := h.log.WithFields(logrus.Fields{"server": p.Engine.Address, "held_ms": time.Since(h.since).Milliseconds(), "use": use})
 	if err != nil {
@@ -72,7 +72,7 @@
 
 // Context returns a context that ends with its parent, and with the cause ErrUnused
 // when the engines say that no prompt has begun to use the memory. Cancel it.
-func (h *Held) Context(parent context.Context) (context.Context, context.CancelFunc) {
+func (h *Reservation) Context(parent context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	stop := context.AfterFunc(h.unused, func() { cancel(ErrUnused) })
 	return ctx, func() {
--- a/reservation/use_test.go
+++ b/reservation/use_test.go
@@ -20,20 +20,20 @@
 // Cause: only the end of the attempt ended a reservation, and only the caller ended
 // the attempt.
 func TestUnusedMemoryEndsTheAttempt(t *testing.T) {
-	late := []Use{Unused, Unused, Unused, Unused, Unused, Unused}
-	silent := []Use{UseUnknown, UseUnknown, UseUnknown, UseUnknown}
+	late := []Usage{Unused, Unused, Unused, Unused, Unused, Unused}
+	silent := []Usage{UsageUnknown, UsageUnknown, UsageUnknown, UsageUnknown}
 	for _, c := range []struct {
 		name   string
-		uses   map[string][]Use
+		uses   map[string][]Usage
 		unused bool
 		asked  []string
 	}{
-		{"nobody began", map[string][]Use{"a": late, "b": late, "c": late}, true, []string{"c", "b"}},
+		{"nobody began", map[string][]Usage{"a": late, "b": late, "c": late}, true, []string{"c", "b"}},
 		{"begun", nil, false, []string{"c"}},
-		{"one report lags", map[string][]Use{"c": late}, false, []string{"c", "b"}},
-		{"an engine that doesn't say", map[string][]Use{"a": late, "b": late, "c": silent}, true, []string{"c", "b", "a"}},
-		{"nobody says", map[string][]Use{"a": silent, "b": silent, "c": silent}, false, []string{"c", "b", "a", "c", "b", "a", "c", "b", "a", "c", "b", "a", "c"}},
-		{"the answering one doesn't say", map[string][]Use{"a": silent, "b": {Unused, InUse}, "c": silent}, false, []string{"c", "b", "a", "c", "b"}},
+		{"one report lags", map[string][]Usage{"c": late}, false, []string{"c", "b"}},
+		{"an engine that doesn't say", map[string][]Usage{"a": late, "b": late, "c": silent}, true, []string{"c", "b", "a"}},
+		{"nobody says", map[string][]Usage{"a": silent, "b": silent, "c": silent}, false, []string{"c", "b", "a", "c", "b", "a", "c", "b", "a", "c", "b", "a", "c"}},
+		{"the answering one doesn't say", map[string][]Usage{"a": silent, "b": {Unused, InUse}, "c": silent}, false, []string{"c", "b", "a", "c", "b"}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			e := newEngines(100)
@@ -89,7 +89,7 @@
 func TestFirstTokenCountsMoreThanReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngines(100)
-		e.uses = map[string][]Use{"b": {Unused}, "c": {Unused}}
+		e.uses = map[string][]Usage{"b": {Unused}, "c": {Unused}}
 		r := New(e, 1, quiet.Logger(), metrics.NewRegistry())
 		held, _, err := r.Acquire(t.Context(), "request", parts(60))
 		if err != nil {
--- a/routetable/table.go
+++ b/routetable/table.go
@@ -68,7 +68,7 @@
 // Service is a declared set of backend servers.
 type Service struct {
 	Name   string
-	Engine *placement.Engine // nil for a plain service
+	Engine *placement.EngineProfile // nil for a plain service
 	// ColdPerSecond is how many requests a second one of its servers bears while it is
 	// cold, from all entries together; 0: not declared.
 	ColdPerSecond float64
