--- a/internal/capacity/measure_gateway.go
+++ b/internal/capacity/measure_gateway.go
@@ -47,16 +47,16 @@
 			r, ledger = registry, l
 		}
 		x, err := peering.Start(ctx, peering.Config{
-			Name: name, Listen: "127.0.0.1:0", Incarnation: uint64(i) + 1, Zone: "z", Region: "r", Store: store,
-			Ledger: l, Suspects: quarantine.NewBook(quarantine.DefaultOptions),
-			Entries: func(names []string, _ bool) { known[i] <- len(names) }, Log: quiet.Logger(), Metrics: r,
+			Name: name, ListenAddress: "127.0.0.1:0", Incarnation: uint64(i) + 1, Zone: "z", Region: "r", Store: store,
+			Ledger: l, Quarantine: quarantine.NewBook(quarantine.DefaultOptions),
+			OnEntriesChanged: func(names []string, _ bool) { known[i] <- len(names) }, Log: quiet.Logger(), Metrics: r,
 		})
 		if err != nil {
 			return nil, nil, nil, errors.Trace(err)
 		}
 		context.AfterFunc(ctx, func() { _ = x.Close() })
 		if i == 0 {
-			teller = x.Teller()
+			teller = x.AttemptPublisher()
 		}
 	}
 	for n := 0; n < 2; {
--- a/internal/gatewaynode/firststart_test.go
+++ b/internal/gatewaynode/firststart_test.go
@@ -42,9 +42,9 @@
 	for i := range entries {
 		readers := func() peering.Readers {
 			if time.Since(z.began) < hear {
-				return peering.Readers{Own: true}
+				return peering.Readers{Self: true}
 			}
-			return peering.Readers{Own: i < len(near), Near: near, Rest: []string{"e3", "e4"}}
+			return peering.Readers{Self: i < len(near), SameZone: near, Others: []string{"e3", "e4"}}
 		}
 		from := objectapi.Store(store)
 		if silent && i < len(near) {
--- a/internal/gatewaynode/node.go
+++ b/internal/gatewaynode/node.go
@@ -56,9 +56,9 @@
 // while nothing changes: the readers of each availability zone, each watch once in its
 // wait.
 func QuietReadsPerSecond(entries, zones int) float64 {
-	readers := min(entries, max(zones*peering.ReadersPerZone, peering.LeastReaders))
+	readers := min(entries, max(zones*peering.ReadersPerZone, peering.MinReaders))
 	perReader := 0.0
-	for _, wait := range []time.Duration{configWait, serversWait, peering.PresenceWait} {
+	for _, wait := range []time.Duration{configWait, serversWait, peering.PresenceWatchWait} {
 		perReader += float64(time.Second) / float64(wait)
 	}
 	return float64(readers) * perReader
@@ -160,17 +160,17 @@
 	suspects := quarantine.NewBook(gateway.QuarantineOptions())
 	budget := gateway.NewRetryBudget(cfg.RetryRatio, cfg.RetrySlack, cfg.RetryWindow, assumedEntries)
 	exchange, err := peering.Start(ctx, peering.Config{
-		Name:        cfg.Name,
-		Listen:      cfg.Datagram,
-		RPC:         rpc,
-		Incarnation: incarnation,
-		Zone:        cfg.Zone,
-		Region:      cfg.Region,
-		LinkMbps:    cfg.LinkMbps,
-		Store:       cfg.Store,
-		Ledger:      n.ledger,
-		Suspects:    suspects,
-		Entries: func(names []string, listed bool) {
+		Name:          cfg.Name,
+		ListenAddress: cfg.Datagram,
+		RPCAddress:    rpc,
+		Incarnation:   incarnation,
+		Zone:          cfg.Zone,
+		Region:        cfg.Region,
+		LinkMbps:      cfg.LinkMbps,
+		Store:         cfg.Store,
+		Ledger:        n.ledger,
+		Quarantine:    suspects,
+		OnEntriesChanged: func(names []string, listed bool) {
 			budget.SetEntries(len(names))
 			if listed {
 				n.warmup.SetEntries(names, time.Now())
@@ -191,10 +191,10 @@
 		Zones:     n.zones,
 		Warmup:    n.warmup,
 		Pool:      n.pool,
-		Placer:    placement.NewPlanner(n.ledger, incarnation, time.Now, exchange.Teller()).Use(cmp.Or(cfg.Policy, placement.LeastLoss)),
+		Placer:    placement.NewPlanner(n.ledger, incarnation, time.Now, exchange.AttemptPublisher()).Use(cmp.Or(cfg.Policy, placement.LeastLoss)),
 		Budget:    budget,
 		Suspects:  suspects,
-		Witness:   exchange.Witness(),
+		Witness:   exchange.DeathReporter(),
 		Reserver:  reservation.New(cfg.Engines(n.pool), incarnation, cfg.Log, cfg.Metrics),
 		Options:   cfg.Options,
 		Log:       cfg.Log,
@@ -209,7 +209,7 @@
 	follow := n.follower()
 	n.watch(ctx, cfg.Decoder.ConfigKind, configWait, follow)
 	n.watch(ctx, cfg.Decoder.ServersKind, serversWait, follow)
-	n.watch(ctx, peering.KindGateway, peering.PresenceWait, follow)
+	n.watch(ctx, peering.KindGateway, peering.PresenceWatchWait, follow)
 	if n.evacuates() {
 		n.watch(ctx, cfg.Decoder.EvacuationsKind, n.evacuationsWait(), follow)
 	}
--- a/internal/gatewaynode/peers.go
+++ b/internal/gatewaynode/peers.go
@@ -25,7 +25,7 @@
 	// without it every entry would do so.
 	configPullAge   = 2*configWait + pullAgeSlack
 	serversPullAge  = serversWait + pullAgeSlack
-	presencePullAge = 3 * peering.PresenceWait // nothing depends on its being new
+	presencePullAge = 3 * peering.PresenceWatchWait // nothing depends on its being new
 	pullAgeSlack    = 900 * time.Millisecond
 	// takeUpPause bounds the pause, from half of it on, after which an entry that isn't a
 	// reader asks the object API again that didn't answer it. In an outage every entry
@@ -46,7 +46,7 @@
 // safe for concurrent use.
 type follower struct {
 	replica *replica.Replica
-	kinds   []replica.Followed
+	kinds   []replica.PulledKind
 	readers func() peering.Readers
 	clock   boottime.Clock
 	turn    atomic.Uint64 // counts the questions to readers
@@ -60,20 +60,20 @@
 
 // follower returns the node's own. Its peers can be asked once the exchange runs.
 func (n *Node) follower() *follower {
-	kinds := []replica.Followed{
-		{Kind: n.cfg.Decoder.ConfigKind, Age: configPullAge},
-		{Kind: n.cfg.Decoder.ServersKind, Age: serversPullAge},
-		{Kind: peering.KindGateway, Age: presencePullAge},
+	kinds := []replica.PulledKind{
+		{Kind: n.cfg.Decoder.ConfigKind, MaxAge: configPullAge},
+		{Kind: n.cfg.Decoder.ServersKind, MaxAge: serversPullAge},
+		{Kind: peering.KindGateway, MaxAge: presencePullAge},
 	}
 	if n.evacuates() {
-		kinds = append(kinds, replica.Followed{Kind: n.cfg.Decoder.EvacuationsKind, Age: n.evacuationsWait() + pullAgeSlack})
+		kinds = append(kinds, replica.PulledKind{Kind: n.cfg.Decoder.EvacuationsKind, MaxAge: n.evacuationsWait() + pullAgeSlack})
 	}
 	f := newFollower(n.replica, kinds, n.exchange.Readers, boottime.Now)
 	f.gathers = n.cfg.FirstStart
 	return f
 }
 
-func newFollower(r *replica.Replica, kinds []replica.Followed, readers func() peering.Readers, clock boottime.Clock) *follower {
+func newFollower(r *replica.Replica, kinds []replica.PulledKind, readers func() peering.Readers, clock boottime.Clock) *follower {
 	return &follower{
 		replica: r, kinds: kinds, readers: readers, clock: clock, begun: clock(), pauses: map[string]boottime.Instant{},
 	}
@@ -83,7 +83,7 @@
 // store, and what they tell is new enough. As soon as it isn't, the entry asks the store
 // itself, and if that fails, again after a pause.
 func (f *follower) leavesStore(kind string) bool {
-	own := f.readers().Own
+	own := f.readers().Self
 	age, ok := f.replica.Age(kind)
 	if !ok && f.leavesFirstRead(kind, own) {
 		return true
@@ -124,7 +124,7 @@
 func (f *follower) limit(kind string) time.Duration {
 	for _, k := range f.kinds {
 		if k.Kind == kind {
-			return k.Age
+			return k.MaxAge
 		}
 	}
 	return 0
@@ -136,26 +136,26 @@
 // comes an entry that is no reader: the store may have turned away all that are.
 func (f *follower) sources() replica.Sources {
 	r := f.readers()
-	out := replica.Sources{Always: !r.Own, Large: r.Near}
-	first, second := r.Near, r.Far
+	out := replica.Sources{AlwaysPull: !r.Self, LargeObjectPeers: r.SameZone}
+	first, second := r.SameZone, r.OtherZones
 	if f.turn.Add(1)%2 == 0 {
 		first, second = second, first
 	}
-	for _, group := range [][]string{first, second, r.Rest} {
+	for _, group := range [][]string{first, second, r.Others} {
 		out.Peers = append(out.Peers, group[:min(1, len(group))]...)
 	}
-	for _, group := range [][]string{first, second, r.Rest} {
+	for _, group := range [][]string{first, second, r.Others} {
 		out.Peers = append(out.Peers, group[min(1, len(group)):]...)
 	}
 	return out
 }
 
 // puller returns the Puller that keeps the follower's kinds current.
-func (f *follower) puller(asker replica.Asker, r metrics.Registry) *replica.Puller {
+func (f *follower) puller(asker replica.Client, r metrics.Registry) *replica.Puller {
 	return replica.NewPuller(replica.PullerConfig{
 		Replica: f.replica,
 		Kinds:   f.kinds,
-		Asker:   asker,
+		Client:  asker,
 		Sources: f.sources,
 		Clock:   f.clock,
 		Metrics: r,
--- a/internal/gatewaynode/peers_test.go
+++ b/internal/gatewaynode/peers_test.go
@@ -75,7 +75,7 @@
 	h := &heard{at: map[string]time.Time{}}
 	r := replica.New(h, z.clock)
 	z.services[name] = replica.NewService(r, z.clock)
-	kinds := []replica.Followed{{Kind: testKind, Age: serversPullAge}}
+	kinds := []replica.PulledKind{{Kind: testKind, MaxAge: serversPullAge}}
 	f := newFollower(r, kinds, readers, z.clock)
 	f.gathers = gathers
 	config := watcherConfig(testKind, serversWait)
@@ -106,12 +106,12 @@
 			store := standin.NewMemory(standin.Config{})
 			z := &zone{services: map[string]*replica.Service{}, began: time.Now()}
 			first, second := &turnedAway{Store: store}, &turnedAway{Store: store}
-			z.join(ctx, "elsewhere", store, peering.Readers{Own: true})
+			z.join(ctx, "elsewhere", store, peering.Readers{Self: true})
 			far := []string{"elsewhere"}
 			entries := []*heard{
-				z.join(ctx, "first", first, peering.Readers{Own: true, Near: []string{"second"}, Far: far}),
-				z.join(ctx, "second", second, peering.Readers{Own: true, Near: []string{"first"}, Far: far}),
-				z.join(ctx, "third", store, peering.Readers{Near: []string{"first", "second"}, Far: far}),
+				z.join(ctx, "first", first, peering.Readers{Self: true, SameZone: []string{"second"}, OtherZones: far}),
+				z.join(ctx, "second", second, peering.Readers{Self: true, SameZone: []string{"first"}, OtherZones: far}),
+				z.join(ctx, "third", store, peering.Readers{SameZone: []string{"first", "second"}, OtherZones: far}),
 			}
 			create := func(name string) {
 				if _, err := store.Create(ctx, testKind, name, json.RawMessage("{}")); err != nil {
@@ -155,9 +155,9 @@
 			store := standin.NewMemory(standin.Config{})
 			z := &zone{services: map[string]*replica.Service{}, began: time.Now()}
 			reader := &turnedAway{Store: store}
-			z.join(ctx, "elsewhere", store, peering.Readers{Own: true})
-			z.join(ctx, "reader", reader, peering.Readers{Own: true, Far: []string{"elsewhere"}})
-			other := z.join(ctx, "other", store, peering.Readers{Near: []string{"reader"}, Far: []string{"elsewhere"}})
+			z.join(ctx, "elsewhere", store, peering.Readers{Self: true})
+			z.join(ctx, "reader", reader, peering.Readers{Self: true, OtherZones: []string{"elsewhere"}})
+			other := z.join(ctx, "other", store, peering.Readers{SameZone: []string{"reader"}, OtherZones: []string{"elsewhere"}})
 			time.Sleep(20*time.Second + begins)
 			synctest.Wait()
 			reader.away = true
@@ -200,10 +200,10 @@
 		var entries []*heard
 		for i, name := range readers {
 			far := slices.Concat(readers[:i], readers[i+1:])
-			entries = append(entries, z.join(ctx, name, store, peering.Readers{Own: true, Far: far}))
+			entries = append(entries, z.join(ctx, name, store, peering.Readers{Self: true, OtherZones: far}))
 		}
 		for i := range others {
-			entries = append(entries, z.join(ctx, fmt.Sprintf("other %d", i), store, peering.Readers{Near: readers[:1], Far: readers[1:]}))
+			entries = append(entries, z.join(ctx, fmt.Sprintf("other %d", i), store, peering.Readers{SameZone: readers[:1], OtherZones: readers[1:]}))
 		}
 		time.Sleep(20 * time.Second)
 		before := store.Counts().Watch
--- a/internal/gatewaynode/sink.go
+++ b/internal/gatewaynode/sink.go
@@ -30,7 +30,7 @@
 	case s.cfg.Decoder.EvacuationsKind:
 		s.replaceEvacuations(l)
 	case peering.KindGateway:
-		s.exchange.Roster().Snapshot(kind, l)
+		s.exchange.PresenceSink().Snapshot(kind, l)
 	}
 }
 
@@ -44,7 +44,7 @@
 	case s.cfg.Decoder.EvacuationsKind:
 		s.changeEvacuations(l)
 	case peering.KindGateway:
-		s.exchange.Roster().Events(kind, l)
+		s.exchange.PresenceSink().Events(kind, l)
 	}
 }
 
--- a/peering/exchange.go
+++ b/peering/exchange.go
@@ -36,27 +36,27 @@
 	// settleTime is how old an attempt must be for a beat that does not list it to
 	// end it: datagrams may overtake each other.
 	settleTime = 100 * time.Millisecond
-	// PresenceWait is how long a watch of the other entries waits: they change rarely.
-	PresenceWait = 10 * time.Second
+	// PresenceWatchWait is how long a watch of the other entries waits: they change rarely.
+	PresenceWatchWait = 10 * time.Second
 )
 
 // Config sets up an Exchange.
 type Config struct {
-	Name        string // the VM's
-	Listen      string // datagrams, IP:PORT
-	RPC         string // where peers find this entry's drpc services; empty: it has none
-	Incarnation uint64
-	Zone        string
-	Region      string
-	LinkMbps    int // of the VM; 0: not known
-	Store       objectapi.Store
-	Ledger      *placement.Ledger
-	Suspects    *quarantine.Book
-	// Entries is told the names of all entries, this one included, and whether the object
+	Name          string // the VM's
+	ListenAddress string // datagrams, IP:PORT
+	RPCAddress    string // where peers find this entry's drpc services; empty: it has none
+	Incarnation   uint64
+	Zone          string
+	Region        string
+	LinkMbps      int // of the VM; 0: not known
+	Store         objectapi.Store
+	Ledger        *placement.Ledger
+	Quarantine    *quarantine.Book
+	// OnEntriesChanged is told the names of all entries, this one included, and whether the object
 	// API has listed them once: before that only some are known.
-	Entries func(names []string, listed bool)
-	Log     logrus.FieldLogger
-	Metrics metrics.Registry
+	OnEntriesChanged func(names []string, listed bool)
+	Log              logrus.FieldLogger
+	Metrics          metrics.Registry
 }
 
 // Exchange is one entry's end of the exchange. Make it with Start.
@@ -100,14 +100,14 @@
 	}
 	x.roster = newRoster(cfg.Name, cfg.Log, x.setPeers)
 	datagrams, err := wire.ListenDatagrams(wire.DatagramConfig{
-		Address: cfg.Listen, Handler: x.hear, Log: cfg.Log, Metrics: cfg.Metrics,
+		Address: cfg.ListenAddress, Handler: x.hear, Log: cfg.Log, Metrics: cfg.Metrics,
 	})
 	if err != nil {
 		return nil, errors.Annotate(err, "step start exchange with peers")
 	}
 	x.datagrams = datagrams
 	x.own = presence{
-		Datagram: datagrams.Addr().String(), RPC: cfg.RPC, Incarnation: cfg.Incarnation, Zone: cfg.Zone, Region: cfg.Region,
+		DatagramAddress: datagrams.Addr().String(), RPCAddress: cfg.RPCAddress, Incarnation: cfg.Incarnation, Zone: cfg.Zone, Region: cfg.Region,
 		LinkMbps: cfg.LinkMbps, Relays: true,
 	}
 	go x.passOn(ctx)
@@ -118,17 +118,17 @@
 	return x, nil
 }
 
-// Teller returns what the entry's planner tells of its attempts.
-func (x *Exchange) Teller() placement.Teller { return x.outbox }
+// AttemptPublisher returns what the entry's planner tells of its attempts.
+func (x *Exchange) AttemptPublisher() placement.Teller { return x.outbox }
 
-// Witness returns what the entry's gateway tells of servers that died.
-func (x *Exchange) Witness() gateway.Witness { return x.outbox }
+// DeathReporter returns what the entry's gateway tells of servers that died.
+func (x *Exchange) DeathReporter() gateway.Witness { return x.outbox }
 
 // Close ends the datagrams.
 func (x *Exchange) Close() error { return errors.Trace(x.datagrams.Close()) }
 
-// Roster returns the sink that is to be told of the objects of KindGateway.
-func (x *Exchange) Roster() objectapi.Sink { return x.roster }
+// PresenceSink returns the sink that is to be told of the objects of KindGateway.
+func (x *Exchange) PresenceSink() objectapi.Sink { return x.roster }
 
 // setPeers takes the entries that the object API lists.
 func (x *Exchange) setPeers(listed []Peer) {
@@ -149,7 +149,7 @@
 	slices.SortFunc(peers, compareRank)
 	x.peers = peers
 	x.mu.Unlock()
-	x.cfg.Entries(x.names(peers), x.roster.hasListed())
+	x.cfg.OnEntriesChanged(x.names(peers), x.roster.hasListed())
 	x.greet(slices.DeleteFunc(slices.Clone(peers), func(p Peer) bool { return known[p.Incarnation] }), now)
 }
 
@@ -249,7 +249,7 @@
 	peers := x.peers
 	x.mu.Unlock()
 	for _, p := range peers {
-		x.sendTo(p.Address, m)
+		x.sendTo(p.DatagramAddress, m)
 	}
 }
 
@@ -295,7 +295,7 @@
 	for _, seq := range m.GetEnded() {
 		x.cfg.Ledger.End(placement.WorkID{Owner: owner, Seq: seq})
 	}
-	wire.LearnEvidence(x.cfg.Suspects, m.GetEvidence(), now)
+	wire.LearnEvidence(x.cfg.Quarantine, m.GetEvidence(), now)
 	if m.GetBeat() {
 		x.cfg.Ledger.Keep(owner, m.GetActive(), m.GetUpTo(), now.Add(-settleTime))
 	}
--- a/peering/exchange_test.go
+++ b/peering/exchange_test.go
@@ -40,14 +40,14 @@
 		entries:  make(chan int, 64),
 	}
 	x, err := Start(ctx, Config{
-		Name: name, Zone: zone, Listen: "127.0.0.1:0", Incarnation: incarnation, Store: store, Ledger: e.ledger, Suspects: e.suspects,
-		Entries: func(names []string, _ bool) { e.entries <- len(names) }, Log: quiet.Logger(), Metrics: metrics.NewRegistry(),
+		Name: name, Zone: zone, ListenAddress: "127.0.0.1:0", Incarnation: incarnation, Store: store, Ledger: e.ledger, Quarantine: e.suspects,
+		OnEntriesChanged: func(names []string, _ bool) { e.entries <- len(names) }, Log: quiet.Logger(), Metrics: metrics.NewRegistry(),
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	e.exchange = x
-	go objectapi.NewWatcher(objectapi.WatcherConfig{Store: store, Kinds: []string{KindGateway}, Sink: x.Roster()}).Run(ctx)
+	go objectapi.NewWatcher(objectapi.WatcherConfig{Store: store, Kinds: []string{KindGateway}, Sink: x.PresenceSink()}).Run(ctx)
 	t.Cleanup(func() { stop(); _ = x.Close() })
 	return e
 }
@@ -69,7 +69,7 @@
 		Memory: 20, Pause: time.Second, Weight: 3, Holders: []uint64{7, 8}, HolderMemory: 11,
 	}
 	e.ledger.Begin(w, time.Now())
-	e.exchange.Teller().Began(w)
+	e.exchange.AttemptPublisher().Began(w)
 	return w
 }
 
@@ -86,10 +86,10 @@
 		t.Errorf("b knows %+v", got)
 	}
 	a.ledger.FirstToken(w.ID, time.Now())
-	a.exchange.Teller().FirstToken(w.ID)
+	a.exchange.AttemptPublisher().FirstToken(w.ID)
 	await(t, "b hears of the first token", func() bool { return b.ledger.Active(1)[0].Writing })
 	a.ledger.End(w.ID)
-	a.exchange.Teller().Ended(w.ID)
+	a.exchange.AttemptPublisher().Ended(w.ID)
 	await(t, "b hears of the end", func() bool { return b.knows(1) == 0 })
 }
 
@@ -125,7 +125,7 @@
 	}
 	// What b writes of itself goes to another store, so that a hears of it from b alone.
 	b := startEntry(t, memory.NewMemory(memory.Config{}), "b", 2)
-	b.exchange.Roster().Snapshot(KindGateway, listed)
+	b.exchange.PresenceSink().Snapshot(KindGateway, listed)
 	await(t, "b knows all", func() bool { return b.knows(1) == 10 })
 	await(t, "a counts b", func() bool { return <-a.entries == 2 })
 }
@@ -187,7 +187,7 @@
 	await(t, "both found each other", func() bool { return <-a.entries == 2 })
 	for death := range uint64(quarantine.DefaultOptions.Deaths) {
 		record, _ := a.suspects.Died(5, death+1, time.Now())
-		a.exchange.Witness().Died(record)
+		a.exchange.DeathReporter().Died(record)
 	}
 	await(t, "b refuses it", func() bool { return b.suspects.Verdict(5, time.Now()) == quarantine.Refuse })
 }
--- a/peering/hello.go
+++ b/peering/hello.go
@@ -33,7 +33,7 @@
 // message is what an entry says of itself.
 func (p presence) message(name string) *wirepb.Peer {
 	return &wirepb.Peer{
-		Name: name, DatagramAddress: p.Datagram, RpcAddress: p.RPC, Zone: p.Zone, Region: p.Region,
+		Name: name, DatagramAddress: p.DatagramAddress, RpcAddress: p.RPCAddress, Zone: p.Zone, Region: p.Region,
 		Incarnation: p.Incarnation, LinkMbps: uint32(max(p.LinkMbps, 0)), Relays: p.Relays,
 	}
 }
@@ -46,7 +46,7 @@
 		return
 	}
 	peer := Peer{
-		Name: m.GetName(), Address: address, RPC: m.GetRpcAddress(), Zone: m.GetZone(), Region: m.GetRegion(),
+		Name: m.GetName(), DatagramAddress: address, RPCAddress: m.GetRpcAddress(), Zone: m.GetZone(), Region: m.GetRegion(),
 		LinkMbps: int(m.GetLinkMbps()), Relays: m.GetRelays(), Incarnation: m.GetIncarnation(),
 	}
 	x.mu.Lock()
@@ -103,9 +103,9 @@
 		all = append(all, &wirepb.WorkNews{Owner: x.cfg.Incarnation, Hello: hello})
 	}
 	for _, p := range peers {
-		x.cfg.Log.WithFields(logrus.Fields{"peer": p.Name, "address": p.Address.String()}).Info("peer found")
+		x.cfg.Log.WithFields(logrus.Fields{"peer": p.Name, "address": p.DatagramAddress.String()}).Info("peer found")
 		for _, m := range all {
-			x.sendTo(p.Address, m)
+			x.sendTo(p.DatagramAddress, m)
 		}
 	}
 }
--- a/peering/idle_test.go
+++ b/peering/idle_test.go
@@ -40,11 +40,11 @@
 	now := time.Now()
 	x := &Exchange{
 		cfg: Config{
-			Incarnation: 1, RPC: "own", Log: quiet.Logger(),
+			Incarnation: 1, RPCAddress: "own", Log: quiet.Logger(),
 			Ledger: placement.NewLedger(func(uint64) *placement.Engine { return nil }),
 		},
 		last: map[uint64]time.Time{}, idle: map[uint64]bool{}, heard: metrics.NewCounter(),
-		peers: []Peer{{Incarnation: 2, RPC: "two"}, {Incarnation: 3, RPC: "three"}},
+		peers: []Peer{{Incarnation: 2, RPCAddress: "two"}, {Incarnation: 3, RPCAddress: "three"}},
 	}
 	hear := func(m *wirepb.WorkNews) {
 		x.hear(netip.AddrPort{}, &wirepb.Datagram{Body: &wirepb.Datagram_Work{Work: m}})
--- a/peering/presence.go
+++ b/peering/presence.go
@@ -22,25 +22,25 @@
 
 // presence is the value of a KindGateway object; its name is the VM's.
 type presence struct {
-	Datagram    string `json:"datagram"`      // IP:PORT
-	RPC         string `json:"rpc,omitempty"` // IP:PORT of its drpc services, where it has any
-	Incarnation uint64 `json:"incarnation"`
-	Zone        string `json:"zone"`
-	Region      string `json:"region"`
-	LinkMbps    int    `json:"link_mbps,omitempty"` // of the VM; 0: not known
-	Relays      bool   `json:"relays,omitempty"`    // passes news on to its zone
+	DatagramAddress string `json:"datagram"`      // IP:PORT
+	RPCAddress      string `json:"rpc,omitempty"` // IP:PORT of its drpc services, where it has any
+	Incarnation     uint64 `json:"incarnation"`
+	Zone            string `json:"zone"`
+	Region          string `json:"region"`
+	LinkMbps        int    `json:"link_mbps,omitempty"` // of the VM; 0: not known
+	Relays          bool   `json:"relays,omitempty"`    // passes news on to its zone
 }
 
 // Peer is another entry.
 type Peer struct {
-	Name        string
-	Address     netip.AddrPort // datagrams
-	RPC         string         // IP:PORT of its drpc services; empty: none
-	Zone        string
-	Region      string
-	LinkMbps    int  // of the VM; 0: not known
-	Relays      bool // passes news on to its zone
-	Incarnation uint64
+	Name            string
+	DatagramAddress netip.AddrPort // datagrams
+	RPCAddress      string         // IP:PORT of its drpc services; empty: none
+	Zone            string
+	Region          string
+	LinkMbps        int  // of the VM; 0: not known
+	Relays          bool // passes news on to its zone
+	Incarnation     uint64
 }
 
 // listedWait bounds how long the own presence waits for the list of the others, which
@@ -186,11 +186,11 @@
 	if err := json.Unmarshal(o.Data, &p); err != nil {
 		return Peer{}, errors.Annotatef(err, "step read presence, peer %s", o.Name)
 	}
-	address, err := netip.ParseAddrPort(p.Datagram)
+	address, err := netip.ParseAddrPort(p.DatagramAddress)
 	if err != nil {
 		return Peer{}, errors.Annotatef(err, "step read presence, peer %s", o.Name)
 	}
 	return Peer{
-		Name: o.Name, Address: address, RPC: p.RPC, Zone: p.Zone, Region: p.Region, LinkMbps: p.LinkMbps, Relays: p.Relays, Incarnation: p.Incarnation,
+		Name: o.Name, DatagramAddress: address, RPCAddress: p.RPCAddress, Zone: p.Zone, Region: p.Region, LinkMbps: p.LinkMbps, Relays: p.Relays, Incarnation: p.Incarnation,
 	}, nil
 }
--- a/peering/readers.go
+++ b/peering/readers.go
@@ -16,17 +16,17 @@
 	// others read through them. Each entry asks some two times a second, which at 430
 	// entries would be half of the 2,000 reads a second that the object API does.
 	ReadersPerZone = 1
-	// LeastReaders is how many entries of a region read it at least. The first may be
+	// MinReaders is how many entries of a region read it at least. The first may be
 	// turned away and the second die without a gap.
-	LeastReaders = 3
+	MinReaders = 3
 )
 
 // Readers says which entries read the object API for the others, as one entry sees it.
 type Readers struct {
-	Own  bool     // this entry is one
-	Near []string // RPC addresses of the readers of its zone, itself left out
-	Far  []string // of those of the other zones of its region
-	Rest []string // of all other entries that were heard lately, its own region first
+	Self       bool     // this entry is one
+	SameZone   []string // RPC addresses of the readers of its zone, itself left out
+	OtherZones []string // of those of the other zones of its region
+	Others     []string // of all other entries that were heard lately, its own region first
 }
 
 // Readers chooses the readers among the entries of the region that were heard lately,
@@ -34,26 +34,26 @@
 // entry has to agree: where views differ, one more or one less reads for a moment, and
 // one that hears nobody reads for itself.
 func (x *Exchange) Readers() Readers {
-	if x.cfg.RPC == "" {
-		return Readers{Own: true}
+	if x.cfg.RPCAddress == "" {
+		return Readers{Self: true}
 	}
 	near, abroad := x.heardLately(time.Now())
-	self := Peer{RPC: x.cfg.RPC, Zone: x.cfg.Zone, Region: x.cfg.Region, LinkMbps: x.cfg.LinkMbps, Incarnation: x.cfg.Incarnation}
+	self := Peer{RPCAddress: x.cfg.RPCAddress, Zone: x.cfg.Zone, Region: x.cfg.Region, LinkMbps: x.cfg.LinkMbps, Incarnation: x.cfg.Incarnation}
 	at, _ := slices.BinarySearchFunc(near, self, compareRank)
 	readers, others := chooseReaders(slices.Insert(near, at, self))
-	out := Readers{Rest: slices.Concat(addressesOf(others, self), addressesOf(abroad, self))}
+	out := Readers{Others: slices.Concat(addressesOf(others, self), addressesOf(abroad, self))}
 	for _, p := range readers {
 		switch {
 		case p.Incarnation == self.Incarnation:
-			out.Own = true
+			out.Self = true
 		case p.Zone == self.Zone:
-			out.Near = append(out.Near, p.RPC)
+			out.SameZone = append(out.SameZone, p.RPCAddress)
 		default:
-			out.Far = append(out.Far, p.RPC)
+			out.OtherZones = append(out.OtherZones, p.RPCAddress)
 		}
 	}
-	shuffle(out.Near)
-	shuffle(out.Far)
+	shuffle(out.SameZone)
+	shuffle(out.OtherZones)
 	return out
 }
 
@@ -62,7 +62,7 @@
 	var out []string
 	for _, p := range peers {
 		if p.Incarnation != self.Incarnation {
-			out = append(out, p.RPC)
+			out = append(out, p.RPCAddress)
 		}
 	}
 	shuffle(out)
@@ -76,7 +76,7 @@
 	defer x.mu.Unlock()
 	for _, p := range x.peers {
 		switch {
-		case p.RPC == "" || x.silentLocked(p.Incarnation, now):
+		case p.RPCAddress == "" || x.silentLocked(p.Incarnation, now):
 		case p.Region == x.cfg.Region:
 			near = append(near, p)
 		default:
@@ -99,7 +99,7 @@
 		}
 		others = append(others, p)
 	}
-	more := min(max(LeastReaders-len(readers), 0), len(others))
+	more := min(max(MinReaders-len(readers), 0), len(others))
 	return append(readers, others[:more]...), others[more:]
 }
 
--- a/peering/readers_test.go
+++ b/peering/readers_test.go
@@ -11,7 +11,7 @@
 
 // view is an entry that knows n others of its zone, of which it hears those that live.
 func view(own uint64, zone string, peers []Peer, heard map[uint64]bool) *Exchange {
-	x := &Exchange{cfg: Config{Incarnation: own, Zone: zone, RPC: "own"}, last: map[uint64]time.Time{}}
+	x := &Exchange{cfg: Config{Incarnation: own, Zone: zone, RPCAddress: "own"}, last: map[uint64]time.Time{}}
 	peers = slices.Clone(peers)
 	slices.SortFunc(peers, compareRank)
 	for _, p := range peers {
@@ -30,7 +30,7 @@
 func zoneOf(n int, zone string) []Peer {
 	var out []Peer
 	for i := range n {
-		out = append(out, Peer{Incarnation: uint64(i) + 1, Zone: zone, RPC: fmt.Sprintf("%s-%d", zone, i+1)})
+		out = append(out, Peer{Incarnation: uint64(i) + 1, Zone: zone, RPCAddress: fmt.Sprintf("%s-%d", zone, i+1)})
 	}
 	return out
 }
@@ -51,11 +51,11 @@
 				continue
 			}
 			living++
-			if view(p.Incarnation, "a", peers, alive).Readers().Own {
+			if view(p.Incarnation, "a", peers, alive).Readers().Self {
 				reading++
 			}
 		}
-		if want := min(living, LeastReaders); reading != want {
+		if want := min(living, MinReaders); reading != want {
 			t.Fatalf("%d of %d living entries read, want %d", reading, living, want)
 		}
 	})
@@ -81,9 +81,9 @@
 	reading := map[string]int{}
 	addresses := map[string]bool{}
 	for _, p := range peers {
-		if view(p.Incarnation, p.Zone, peers, heard).Readers().Own {
+		if view(p.Incarnation, p.Zone, peers, heard).Readers().Self {
 			reading[p.Zone]++
-			addresses[p.RPC] = true
+			addresses[p.RPCAddress] = true
 		}
 	}
 	if len(reading) != 5 || len(addresses) != 5 {
@@ -91,15 +91,15 @@
 	}
 	for _, p := range peers {
 		r := view(p.Incarnation, p.Zone, peers, heard).Readers()
-		if r.Own {
+		if r.Self {
 			continue
 		}
-		if len(r.Near) != 1 || len(r.Far) != 4 || len(r.Rest) != len(peers)-6 {
-			t.Fatalf("entry %s knows %d readers near, %d far and %d others", p.RPC, len(r.Near), len(r.Far), len(r.Rest))
+		if len(r.SameZone) != 1 || len(r.OtherZones) != 4 || len(r.Others) != len(peers)-6 {
+			t.Fatalf("entry %s knows %d readers near, %d far and %d others", p.RPCAddress, len(r.SameZone), len(r.OtherZones), len(r.Others))
 		}
-		for _, address := range slices.Concat(r.Near, r.Far) {
+		for _, address := range slices.Concat(r.SameZone, r.OtherZones) {
 			if !addresses[address] {
-				t.Errorf("entry %s takes %s for a reader, which isn't", p.RPC, address)
+				t.Errorf("entry %s takes %s for a reader, which isn't", p.RPCAddress, address)
 			}
 		}
 	}
@@ -115,12 +115,12 @@
 		peers[i].LinkMbps = 20
 		if i%5 == 0 {
 			peers[i].LinkMbps = 200
-			fast[peers[i].RPC] = true
+			fast[peers[i].RPCAddress] = true
 		}
 	}
 	for _, p := range peers {
-		if view(p.Incarnation, p.Zone, peers, heard).Readers().Own && !fast[p.RPC] {
-			t.Errorf("entry %s reads for its zone over a slow link", p.RPC)
+		if view(p.Incarnation, p.Zone, peers, heard).Readers().Self && !fast[p.RPCAddress] {
+			t.Errorf("entry %s reads for its zone over a slow link", p.RPCAddress)
 		}
 	}
 }
@@ -129,7 +129,7 @@
 // API answers. Sequence: it hears nobody. Cause: it goes on leaving the reads to others.
 func TestEntryThatHearsNobodyReadsForItself(t *testing.T) {
 	r := view(3, "a", zoneOf(6, "a"), nil).Readers()
-	if !r.Own || len(r.Near)+len(r.Far)+len(r.Rest) != 0 {
+	if !r.Self || len(r.SameZone)+len(r.OtherZones)+len(r.Others) != 0 {
 		t.Errorf("readers: %+v", r)
 	}
 }
--- a/peering/relay.go
+++ b/peering/relay.go
@@ -36,7 +36,7 @@
 	}
 	direct, relays := x.ways()
 	for _, p := range direct {
-		x.sendTo(p.Address, m)
+		x.sendTo(p.DatagramAddress, m)
 	}
 	if len(relays) == 0 {
 		return
@@ -44,7 +44,7 @@
 	passed := proto.CloneOf(m)
 	passed.PassOn = true
 	for _, p := range relays {
-		x.sendTo(p.Address, passed)
+		x.sendTo(p.DatagramAddress, passed)
 	}
 }
 
@@ -107,7 +107,7 @@
 			m.PassOn = false
 			for _, p := range x.zonePeers() {
 				if p.Incarnation != m.GetOwner() {
-					x.sendTo(p.Address, m)
+					x.sendTo(p.DatagramAddress, m)
 				}
 			}
 		}
--- a/peering/relay_bench_test.go
+++ b/peering/relay_bench_test.go
@@ -33,19 +33,19 @@
 		x := zones(each, "a", "b", "c", "d", "e")
 		x.datagrams, x.failed = own, metrics.NewCounter()
 		for i := range x.peers {
-			x.peers[i].Address = to
+			x.peers[i].DatagramAddress = to
 		}
 		for name, send := range map[string]func(){
 			"all": func() { x.sendAll(news) },
 			"zones": func() {
 				direct, relays := x.ways()
 				for _, p := range append(direct, relays...) {
-					x.sendTo(p.Address, news)
+					x.sendTo(p.DatagramAddress, news)
 				}
 			},
 			"pass": func() {
 				for _, p := range x.zonePeers() {
-					x.sendTo(p.Address, news)
+					x.sendTo(p.DatagramAddress, news)
 				}
 			},
 		} {
--- a/replica/history_test.go
+++ b/replica/history_test.go
@@ -89,8 +89,8 @@
 				}
 			}
 			pullers[i] = NewPuller(PullerConfig{
-				Replica: e.replica, Kinds: []Followed{{Kind: kind}}, Asker: p, Clock: e.clock, Metrics: registry,
-				Sources: func() Sources { return Sources{Always: true, Peers: addresses} },
+				Replica: e.replica, Kinds: []PulledKind{{Kind: kind}}, Client: p, Clock: e.clock, Metrics: registry,
+				Sources: func() Sources { return Sources{AlwaysPull: true, Peers: addresses} },
 			})
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
@@ -153,8 +153,8 @@
 	store.watch(peer)
 	p := &peers{entries: map[string]*entry{"b": peer}, asker: e}
 	puller := NewPuller(PullerConfig{
-		Replica: e.replica, Kinds: []Followed{{Kind: kind, Age: 2 * time.Second}}, Asker: p, Clock: e.clock, Metrics: metrics.NewRegistry(),
-		Sources: func() Sources { return Sources{Always: true, Peers: []string{"b"}} },
+		Replica: e.replica, Kinds: []PulledKind{{Kind: kind, MaxAge: 2 * time.Second}}, Client: p, Clock: e.clock, Metrics: metrics.NewRegistry(),
+		Sources: func() Sources { return Sources{AlwaysPull: true, Peers: []string{"b"}} },
 	})
 	puller.renew(t.Context())
 	if n := puller.strayed.Count(); n != 1 {
--- a/replica/proof_test.go
+++ b/replica/proof_test.go
@@ -54,7 +54,7 @@
 // state will be current for an hour.
 func TestProofOfTheFutureIsCutOff(t *testing.T) {
 	const asked, now = boottime.Instant(time.Minute), boottime.Instant(time.Minute + time.Second)
-	if got := Proof(time.Hour).instant(asked, now); got != now {
+	if got := ConfirmedOffset(time.Hour).instant(asked, now); got != now {
 		t.Errorf("current %v from now", got.Sub(now))
 	}
 }
--- a/replica/puller.go
+++ b/replica/puller.go
@@ -30,36 +30,36 @@
 	pullPeers = 3
 )
 
-// Asker asks the peer at an address; package wire's Dialer is one.
-type Asker interface {
+// Client asks the peer at an address; package wire's Dialer is one.
+type Client interface {
 	PullStates(ctx context.Context, address string, in *wirepb.StatesRequest) (*wirepb.States, error)
 }
 
-// Followed is a kind that a Puller keeps current.
-type Followed struct {
+// PulledKind is a kind that a Puller keeps current.
+type PulledKind struct {
 	Kind string
-	// Age is from when on peers are asked: more than an undisturbed watch lets the
+	// MaxAge is from when on peers are asked: more than an undisturbed watch lets the
 	// proof of the kind grow, which is two of its waits.
-	Age time.Duration
+	MaxAge time.Duration
 }
 
 // Sources says whom a Puller asks.
 type Sources struct {
-	// Always has it ask however new a kind is: for an entry that leaves the object API to
+	// AlwaysPull has it ask however new a kind is: for an entry that leaves the object API to
 	// its peers.
-	Always bool
+	AlwaysPull bool
 	// Peers are the addresses of those that answer, the best first.
 	Peers []string
-	// Large are those to ask first for large objects that another knows of: near ones,
+	// LargeObjectPeers are those to ask first for large objects that another knows of: near ones,
 	// since bytes between availability zones are paid for and slow.
-	Large []string
+	LargeObjectPeers []string
 }
 
 // PullerConfig sets up a Puller.
 type PullerConfig struct {
 	Replica *Replica
-	Kinds   []Followed
-	Asker   Asker
+	Kinds   []PulledKind
+	Client  Client
 	Sources func() Sources
 	Clock   boottime.Clock
 	Metrics metrics.Registry
@@ -102,14 +102,14 @@
 func (p *Puller) renew(ctx context.Context) {
 	sources := p.cfg.Sources()
 	wanted := p.old(p.cfg.Kinds)
-	if sources.Always {
+	if sources.AlwaysPull {
 		wanted = p.cfg.Kinds
 	}
 	for _, address := range sources.Peers[:min(len(sources.Peers), pullPeers)] {
 		if len(wanted) == 0 {
 			return
 		}
-		p.pull(ctx, address, sources.Large, wanted)
+		p.pull(ctx, address, sources.LargeObjectPeers, wanted)
 		still := p.old(wanted)
 		p.renewed.Inc(int64(len(wanted) - len(still)))
 		wanted = still
@@ -117,10 +117,10 @@
 }
 
 // old returns the kinds that need the word of peers.
-func (p *Puller) old(kinds []Followed) []Followed {
-	var out []Followed
+func (p *Puller) old(kinds []PulledKind) []PulledKind {
+	var out []PulledKind
 	for _, f := range kinds {
-		if age, ok := p.cfg.Replica.Age(f.Kind); !ok || age >= f.Age {
+		if age, ok := p.cfg.Replica.Age(f.Kind); !ok || age >= f.MaxAge {
 			out = append(out, f)
 		}
 	}
@@ -135,7 +135,7 @@
 
 // pull asks one peer for some kinds and takes what it knows. Large objects are asked for
 // by themselves, the near peers first.
-func (p *Puller) pull(ctx context.Context, address string, near []string, kinds []Followed) {
+func (p *Puller) pull(ctx context.Context, address string, near []string, kinds []PulledKind) {
 	question := &wirepb.StatesRequest{}
 	for _, f := range kinds {
 		question.Held = append(question.Held, p.held(f.Kind))
@@ -174,7 +174,7 @@
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	asked := p.cfg.Clock()
-	out, err := p.cfg.Asker.PullStates(ctx, address, question)
+	out, err := p.cfg.Client.PullStates(ctx, address, question)
 	if err != nil {
 		// Its reason is the peer's or the network's; the counter tells how often, a line
 		// for each would flood the log of an entry that is cut off.
@@ -185,7 +185,7 @@
 	for _, s := range out.GetStates() {
 		switch {
 		case !s.GetLeftOut():
-			proof := Proof(time.Duration(s.GetProvedUs()) * time.Microsecond)
+			proof := ConfirmedOffset(time.Duration(s.GetProvedUs()) * time.Microsecond)
 			p.take(s, proof.instant(asked, p.cfg.Clock()))
 		case s.GetRevision() > p.cfg.Replica.Revision(s.GetKind()): // else the peer lags
 			left = append(left, leftOut{kind: s.GetKind(), revision: s.GetRevision()})
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -144,7 +144,7 @@
 	listing objectapi.Listing // without objects where the peer has them
 	changes bool              // the objects are what changed, deletions as tombstones
 	digest  uint64
-	proof   Proof
+	proof   ConfirmedOffset
 }
 
 // read returns what is held of a kind for a peer with objects of that digest and
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -71,7 +71,7 @@
 		addresses = append(addresses, address)
 	}
 	NewPuller(PullerConfig{
-		Replica: e.replica, Kinds: []Followed{{Kind: kind, Age: 2 * time.Second}, {Kind: otherKind, Age: 2 * time.Second}}, Asker: p,
+		Replica: e.replica, Kinds: []PulledKind{{Kind: kind, MaxAge: 2 * time.Second}, {Kind: otherKind, MaxAge: 2 * time.Second}}, Client: p,
 		Sources: func() Sources { return Sources{Peers: addresses} }, Clock: e.clock, Metrics: metrics.NewRegistry(),
 	}).renew(t.Context())
 }
