--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -65,16 +65,16 @@
 
 func (e *exchange) noServer() Reason {
 	if e.mayRun {
-		return ReasonUnknown
+		return ReasonOutcomeUnknown
 	}
 	if e.tooLate > 0 {
-		return ReasonNoTime
+		return ReasonDeadlineUnmeetable
 	}
 	if reason := reasonOf(e.keptOut); reason != "" {
 		return reason
 	}
 	if e.sends > 0 {
-		return ReasonServersFull
+		return ReasonServersRefused
 	}
 	return ReasonNoServer
 }
@@ -83,7 +83,7 @@
 	return placement.Query{
 		Engine:         e.service.Engine,
 		InputTokens:    e.env.Prompt.InputTokens,
-		OutputTokens:   e.env.Prompt.OutputTokens,
+		OutputTokens:   e.env.Prompt.MaxOutputTokens,
 		Objective:      e.route.Objective - time.Since(e.begun),
 		PauseObjective: e.route.PauseObjective,
 		Left:           time.Until(e.end),
@@ -103,11 +103,11 @@
 
 func (e *exchange) send(ctx context.Context, run *run) (*upstream.Response, error) {
 	header := endToEnd(e.incoming.Header)
-	a := Attempt{
-		Patience:    time.Until(e.end),
-		Instance:    run.Server.Instance,
-		LastEventID: e.env.LastEventID,
-		Urgency:     run.Urgency,
+	a := AttemptInfo{
+		Timeout:       time.Until(e.end),
+		Instance:      run.Server.Instance,
+		LastEventID:   e.env.LastEventID,
+		QueuePriority: run.Urgency,
 	}
 	if e.workspace != nil {
 		a.Workspace = e.workspace.Name
@@ -116,7 +116,7 @@
 		a.LastEventID = e.stream.lastID
 	}
 	a.Helpers = helpersOf(run.Placement, run.memory)
-	e.gateway.cfg.Protocol.Encode(header, a)
+	e.gateway.cfg.Protocol.EncodeAttempt(header, a)
 	return e.gateway.cfg.Pool.Do(ctx, run.Server.Address, &upstream.Request{
 		Method: e.incoming.Method,
 		Target: target(e.incoming),
@@ -138,7 +138,7 @@
 // mine reports whether an answer is to this request. One without an id can only
 // be a refusal made before the server had read the head.
 func (e *exchange) mine(status int, h http.Header) bool {
-	v := e.gateway.cfg.Protocol.Judge(status, h)
+	v := e.gateway.cfg.Protocol.DecodeResponse(status, h)
 	return v.ID == e.env.ID || v.ID == "" && v.NotRun
 }
 
@@ -163,7 +163,7 @@
 // answered follows the head of an answer.
 func (e *exchange) answered(ctx context.Context, run *run, r *upstream.Response) (step, Reason) {
 	e.sends++
-	v := e.gateway.cfg.Protocol.Judge(r.Status, r.Header)
+	v := e.gateway.cfg.Protocol.DecodeResponse(r.Status, r.Header)
 	if v.NotRun {
 		run.Refused(v.AtFault)
 		e.logRefused(r.Status, v.AtFault)
--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -47,16 +47,16 @@
 	b.entries = max(b.entries, n)
 }
 
-// Request notes the first send of a request.
-func (b *RetryBudget) Request(service string, now time.Time) {
+// RecordRequest notes the first send of a request.
+func (b *RetryBudget) RecordRequest(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.countsLocked(service, now)
 	c.first[c.slot%budgetBuckets]++
 }
 
-// Take takes one more send of a request and reports whether there was one.
-func (b *RetryBudget) Take(service string, now time.Time) bool {
+// TryWithdraw takes one more send of a request and reports whether there was one.
+func (b *RetryBudget) TryWithdraw(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.countsLocked(service, now)
--- a/gateway/candidates.go
+++ b/gateway/candidates.go
@@ -83,7 +83,7 @@
 	case eligible.ZoneEvacuated:
 		return ReasonZoneEvacuated
 	case eligible.AllCold:
-		return ReasonCold
+		return ReasonServersCold
 	}
 	return ""
 }
--- a/gateway/candidates_test.go
+++ b/gateway/candidates_test.go
@@ -163,7 +163,7 @@
 	w.wantArrivals("s1 id-1, s1 id-1, s2 id-1, s2 id-1")
 	w.directory.Remove("s2", time.Now())
 	r, body, err := w.ask(http.MethodGet, "/safe/1", "")
-	wantReason(t, r, body, err, ReasonCold)
+	wantReason(t, r, body, err, ReasonServersCold)
 }
 
 // Requests that are placed on a cold server at the same moment are all sent there.
--- a/gateway/ending.go
+++ b/gateway/ending.go
@@ -12,9 +12,9 @@
 	phaseClosed         // nothing that begins now would
 )
 
-// Leave begins a shutdown: every answer from now on asks its caller to open a new
+// BeginShutdown begins a shutdown: every answer from now on asks its caller to open a new
 // connection, which the balancer takes to another entry.
-func (g *Gateway) Leave() { g.ending.Store(phaseLeaving) }
+func (g *Gateway) BeginShutdown() { g.ending.Store(phaseLeaving) }
 
 // RefuseStreams has new streams refused, which might outlast the shutdown.
 func (g *Gateway) RefuseStreams() { g.ending.Store(phaseNoStream) }
@@ -22,11 +22,11 @@
 // RefuseAll has every new request refused.
 func (g *Gateway) RefuseAll() { g.ending.Store(phaseClosed) }
 
-// Ending reports whether a shutdown has begun.
-func (g *Gateway) Ending() bool { return g.ending.Load() >= phaseLeaving }
+// ShuttingDown reports whether a shutdown has begun.
+func (g *Gateway) ShuttingDown() bool { return g.ending.Load() >= phaseLeaving }
 
-// Running returns how many requests are in progress.
-func (g *Gateway) Running() int64 { return g.running.Load() }
+// ActiveRequests returns how many requests are in progress.
+func (g *Gateway) ActiveRequests() int64 { return g.running.Load() }
 
 func (g *Gateway) refusesNew(route *routetable.Route) bool {
 	switch g.ending.Load() {
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -24,7 +24,7 @@
 	incoming *http.Request
 	begun    time.Time
 
-	env       Envelope
+	env       RequestInfo
 	route     *routetable.Route
 	service   *routetable.Service
 	workspace *routetable.Workspace
@@ -64,7 +64,7 @@
 	}
 	defer e.gateway.bodies.Add(-int64(len(e.body)))
 	if e.poisoned() {
-		e.refuse(ReasonPoison)
+		e.refuse(ReasonKillsServers)
 		return
 	}
 	ctx, cancel, end := deadline(e.incoming.Context(), e.begun, e.env, e.route)
@@ -94,10 +94,10 @@
 	}
 	e.revision, e.age = table.Revision(), age
 	if limit := table.Limits().HeaderBytes; limit > 0 && headerBytes(e.incoming.Header) > limit {
-		return ReasonHeader
+		return ReasonHeaderTooLarge
 	}
 	// Before the route is known: the line of a request that has none needs its id.
-	env, err := g.cfg.Protocol.Decode(e.incoming.Header)
+	env, err := g.cfg.Protocol.DecodeRequest(e.incoming.Header)
 	e.env = env
 	stale := age > g.cfg.Options.KeyAge
 	e.route, ok = table.Route(e.incoming.Host, e.incoming.URL.EscapedPath())
@@ -114,7 +114,7 @@
 		return reason
 	}
 	if g.refusesNew(e.route) {
-		return ReasonEnding
+		return ReasonShuttingDown
 	}
 	e.service, ok = table.Service(pickTarget(e.route))
 	if !ok {
@@ -151,9 +151,9 @@
 	if stale {
 		return ReasonStaleConfig
 	}
-	ws, ok := table.Workspace(e.env.Key)
+	ws, ok := table.Workspace(e.env.APIKey)
 	if !ok {
-		return ReasonNoKey
+		return ReasonUnknownKey
 	}
 	e.workspace = ws
 	return ""
@@ -170,9 +170,9 @@
 	if !ok || age > e.gateway.cfg.Options.KeyAge {
 		return ReasonStaleConfig
 	}
-	ws, ok := table.Workspace(e.env.Key)
+	ws, ok := table.Workspace(e.env.APIKey)
 	if !ok || ws.Name != e.workspace.Name {
-		return ReasonNoKey
+		return ReasonUnknownKey
 	}
 	return ""
 }
@@ -183,10 +183,10 @@
 	g := e.gateway
 	limit := g.bodyLimit()
 	if e.incoming.ContentLength > limit {
-		return ReasonTooLarge
+		return ReasonBodyTooLarge
 	}
 	if g.bodies.Load() > g.cfg.Options.BodiesBytes {
-		return ReasonMemory
+		return ReasonBodyMemoryFull
 	}
 	timed := http.NewResponseController(e.writer)
 	// A connection that takes no deadline is one of a test; its reads end by
@@ -195,10 +195,10 @@
 	defer func() { _ = timed.SetReadDeadline(time.Time{}) }()
 	body, err := io.ReadAll(http.MaxBytesReader(e.writer, e.incoming.Body, limit))
 	if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
-		return ReasonTooLarge
+		return ReasonBodyTooLarge
 	}
 	if err != nil {
-		return ReasonBodyLost
+		return ReasonBodyIncomplete
 	}
 	e.body = body
 	g.bodies.Add(int64(len(body)))
@@ -219,7 +219,7 @@
 		e.stream = newRelay(e)
 	}
 	e.tried = map[string]bool{}
-	e.gateway.cfg.Budget.Request(e.service.Name, time.Now())
+	e.gateway.cfg.Budget.RecordRequest(e.service.Name, time.Now())
 	for {
 		next, reason := e.attempt(ctx)
 		if next == stop {
@@ -249,9 +249,9 @@
 		e.mayRun = true
 	}
 	v := request.Decide(s)
-	reason := ReasonUnknown
+	reason := ReasonOutcomeUnknown
 	if v.Certainty == request.NotRun && !e.mayRun {
-		reason = ReasonServersFull
+		reason = ReasonServersRefused
 	}
 	if v.Action == request.Fail {
 		return finish, reason
@@ -274,7 +274,7 @@
 	if e.sends >= max(1, e.route.MaxAttempts) {
 		return e.noMore(limitAttempts)
 	}
-	if !e.gateway.cfg.Budget.Take(e.service.Name, time.Now()) {
+	if !e.gateway.cfg.Budget.TryWithdraw(e.service.Name, time.Now()) {
 		e.gateway.tally.overBudget.Inc(1)
 		return e.noMore(limitBudget)
 	}
@@ -325,7 +325,7 @@
 // some seconds finds servers that are less busy by as much.
 func (e *exchange) retryAfter(reason Reason) time.Duration {
 	after := reason.retryAfter(e.gateway.cfg.Options)
-	if reason == ReasonNoTime {
+	if reason == ReasonDeadlineUnmeetable {
 		after = max(after, e.tooLate-time.Until(e.end))
 	}
 	return after
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -21,19 +21,19 @@
 
 // Config sets up a Gateway.
 type Config struct {
-	Protocol  Protocol
-	Routes    *routetable.Holder
-	Directory *upstream.Directory
-	Zones     *evacuation.Zones
-	Warmup    *warmup.Limiter
-	Pool      *upstream.Pool
-	Placer    Placer
-	Budget    *RetryBudget
-	Reserver  *reservation.Reserver
-	Suspects  *quarantine.Book
-	Witness   Witness
-	Options   Options
-	Log       logrus.FieldLogger
+	Protocol      Protocol
+	Routes        *routetable.Holder
+	Directory     *upstream.Directory
+	Zones         *evacuation.Zones
+	Warmup        *warmup.Limiter
+	Pool          *upstream.Pool
+	Placer        Placer
+	Budget        *RetryBudget
+	Reserver      *reservation.Reserver
+	Quarantine    *quarantine.Book
+	DeathReporter DeathReporter
+	Options       Options
+	Log           logrus.FieldLogger
 	// Sampler thins out the lines of requests that went well; nil writes all.
 	Sampler Sampler
 	Metrics metrics.Registry
@@ -65,7 +65,7 @@
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.running.Add(1)
 	defer g.running.Add(-1)
-	if g.Ending() {
+	if g.ShuttingDown() {
 		w.Header().Set("Connection", "close")
 	}
 	e := &exchange{gateway: g, writer: w, incoming: r, begun: time.Now()}
@@ -92,10 +92,10 @@
 
 // deadline returns a context that ends when the caller's patience or the route's
 // timeout does, whichever is first.
-func deadline(ctx context.Context, begun time.Time, env Envelope, route *routetable.Route) (context.Context, context.CancelFunc, time.Time) {
+func deadline(ctx context.Context, begun time.Time, env RequestInfo, route *routetable.Route) (context.Context, context.CancelFunc, time.Time) {
 	limit := route.Timeout
-	if env.Patience > 0 && (limit <= 0 || env.Patience < limit) {
-		limit = env.Patience
+	if env.Timeout > 0 && (limit <= 0 || env.Timeout < limit) {
+		limit = env.Timeout
 	}
 	if limit <= 0 {
 		limit = DefaultTimeout
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -460,7 +460,7 @@
 
 func TestShutdownPhases(t *testing.T) {
 	w := newWorld(t, answers("ok")).configured()
-	w.gateway.Leave()
+	w.gateway.BeginShutdown()
 	r, _, err := w.ask(http.MethodGet, "/safe/", "")
 	wantStatus(t, r, err, http.StatusOK)
 	if !r.Close {
@@ -521,7 +521,7 @@
 	for w.arrivals() == "" {
 		time.Sleep(time.Millisecond)
 	}
-	for end := time.Now().Add(time.Minute); w.gateway.Running() > 0; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(time.Minute); w.gateway.ActiveRequests() > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the request is still in progress")
 		}
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -38,8 +38,8 @@
 
 type testProtocol struct{}
 
-func (testProtocol) Decode(h http.Header) (Envelope, error) {
-	e := Envelope{ID: h.Get(hID), Key: h.Get(hKey), LastEventID: h.Get(hLastEvent)}
+func (testProtocol) DecodeRequest(h http.Header) (RequestInfo, error) {
+	e := RequestInfo{ID: h.Get(hID), APIKey: h.Get(hKey), LastEventID: h.Get(hLastEvent)}
 	if e.ID == "" {
 		return e, errors.New("no id")
 	}
@@ -47,15 +47,15 @@
 		e.Prompt.InputTokens = tokens
 	}
 	if ms, err := strconv.Atoi(h.Get(hPatience)); err == nil {
-		e.Patience = time.Duration(ms) * time.Millisecond
+		e.Timeout = time.Duration(ms) * time.Millisecond
 	}
 	return e, nil
 }
 
-func (testProtocol) Encode(h http.Header, a Attempt) {
+func (testProtocol) EncodeAttempt(h http.Header, a AttemptInfo) {
 	h.Del(hKey)
 	h.Del(hWorkspace)
-	h.Set(hPatience, strconv.FormatInt(a.Patience.Milliseconds(), 10))
+	h.Set(hPatience, strconv.FormatInt(a.Timeout.Milliseconds(), 10))
 	h.Set(hInstance, a.Instance)
 	if a.Workspace != "" {
 		h.Set(hWorkspace, a.Workspace)
@@ -65,8 +65,8 @@
 	}
 }
 
-func (testProtocol) Judge(_ int, h http.Header) Verdict {
-	return Verdict{ID: h.Get(hID), NotRun: h.Get(hNotRun) != ""}
+func (testProtocol) DecodeResponse(_ int, h http.Header) ResponseInfo {
+	return ResponseInfo{ID: h.Get(hID), NotRun: h.Get(hNotRun) != ""}
 }
 
 // world is a gateway before some backend servers.
@@ -87,7 +87,7 @@
 
 type witness struct{ records []quarantine.Record }
 
-func (w *witness) Died(r quarantine.Record) { w.records = append(w.records, r) }
+func (w *witness) ReportDeath(r quarantine.Record) { w.records = append(w.records, r) }
 
 // inOrder places on the first candidate by instance, so that tests know where.
 type inOrder struct{ planner *placement.Planner }
@@ -119,18 +119,18 @@
 	r := metrics.NewRegistry()
 	ledger := placement.NewLedger(func(uint64) *placement.Engine { return nil })
 	w.gateway = New(Config{
-		Protocol:  testProtocol{},
-		Routes:    w.routes,
-		Directory: w.directory,
-		Zones:     w.zones,
-		Warmup:    w.warmup,
-		Pool:      upstream.NewPool(r),
-		Placer:    inOrder{placement.NewPlanner(ledger, 1, time.Now, nil)},
-		Budget:    NewRetryBudget(0, 1000, time.Minute, 1),
-		Suspects:  quarantine.NewBook(QuarantineOptions()),
-		Witness:   w.witness,
-		Log:       quiet.Logger(),
-		Metrics:   r,
+		Protocol:      testProtocol{},
+		Routes:        w.routes,
+		Directory:     w.directory,
+		Zones:         w.zones,
+		Warmup:        w.warmup,
+		Pool:          upstream.NewPool(r),
+		Placer:        inOrder{placement.NewPlanner(ledger, 1, time.Now, nil)},
+		Budget:        NewRetryBudget(0, 1000, time.Minute, 1),
+		Quarantine:    quarantine.NewBook(QuarantineOptions()),
+		DeathReporter: w.witness,
+		Log:           quiet.Logger(),
+		Metrics:       r,
 	})
 	for i, handler := range servers {
 		name := fmt.Sprintf("s%d", i+1)
--- a/gateway/log_test.go
+++ b/gateway/log_test.go
@@ -77,7 +77,7 @@
 	r, _, err := w.ask(http.MethodPost, "/stream/", "body", hID, "late", hPrompt, "300000", hPatience, "5000")
 	wantStatus(t, r, err, http.StatusServiceUnavailable)
 	line := awaitLine(t, hook, "late")
-	wantField(t, line, "outcome", string(ReasonNoTime))
+	wantField(t, line, "outcome", string(ReasonDeadlineUnmeetable))
 	wantField(t, line, "forecast_ms", time.Minute.Milliseconds())
 }
 
--- a/gateway/memory.go
+++ b/gateway/memory.go
@@ -93,7 +93,7 @@
 	listed := map[string]bool{}
 	if held != nil {
 		for _, p := range held.Parts {
-			out = append(out, Helper{Address: p.Engine.Address, Ticket: p.ID})
+			out = append(out, Helper{Address: p.Engine.Address, ReservationID: p.ID})
 			listed[p.Engine.Address] = true
 		}
 	}
--- a/gateway/memory_test.go
+++ b/gateway/memory_test.go
@@ -56,7 +56,7 @@
 	w.gateway.cfg.Placer = placer
 	r, body, err := w.ask(http.MethodPost, "/stream/", "body", hPrompt, "300000", hPatience, "5000")
 	wantStatus(t, r, err, http.StatusServiceUnavailable)
-	if !strings.Contains(body, string(ReasonNoTime)) || !strings.Contains(body, "not_run") {
+	if !strings.Contains(body, string(ReasonDeadlineUnmeetable)) || !strings.Contains(body, "not_run") {
 		t.Errorf("body %q", body)
 	}
 	const excess = 55 // seconds that a minute is beyond its patience
--- a/gateway/refusal.go
+++ b/gateway/refusal.go
@@ -13,31 +13,31 @@
 
 // Reasons. Those with status 503 promise that the request has not run.
 const (
-	ReasonNoConfig      Reason = "no_configuration"
-	ReasonStaleConfig   Reason = "stale_configuration"
-	ReasonNoRoute       Reason = "no_route"
-	ReasonNoKey         Reason = "unknown_key"
-	ReasonMalformed     Reason = "malformed"
-	ReasonHeader        Reason = "header_too_large"
-	ReasonTooLarge      Reason = "body_too_large"
-	ReasonBodyLost      Reason = "body_incomplete"
-	ReasonMemory        Reason = "bodies_held"
-	ReasonNoServer      Reason = "no_server"
-	ReasonServersFull   Reason = "servers_refused"
-	ReasonNoTime        Reason = "no_time"
-	ReasonEnding        Reason = "ending"
-	ReasonTimeout       Reason = "timeout"
-	ReasonUnknown       Reason = "outcome_unknown"
-	ReasonPoison        Reason = "kills_servers"
-	ReasonOutOfRegion   Reason = "no_server_in_region"
-	ReasonZoneEvacuated Reason = "zones_evacuated"
-	ReasonCold          Reason = "servers_cold"
+	ReasonNoConfig           Reason = "no_configuration"
+	ReasonStaleConfig        Reason = "stale_configuration"
+	ReasonNoRoute            Reason = "no_route"
+	ReasonUnknownKey         Reason = "unknown_key"
+	ReasonMalformed          Reason = "malformed"
+	ReasonHeaderTooLarge     Reason = "header_too_large"
+	ReasonBodyTooLarge       Reason = "body_too_large"
+	ReasonBodyIncomplete     Reason = "body_incomplete"
+	ReasonBodyMemoryFull     Reason = "bodies_held"
+	ReasonNoServer           Reason = "no_server"
+	ReasonServersRefused     Reason = "servers_refused"
+	ReasonDeadlineUnmeetable Reason = "no_time"
+	ReasonShuttingDown       Reason = "ending"
+	ReasonTimeout            Reason = "timeout"
+	ReasonOutcomeUnknown     Reason = "outcome_unknown"
+	ReasonKillsServers       Reason = "kills_servers"
+	ReasonOutOfRegion        Reason = "no_server_in_region"
+	ReasonZoneEvacuated      Reason = "zones_evacuated"
+	ReasonServersCold        Reason = "servers_cold"
 )
 
 var reasons = []Reason{
-	ReasonNoConfig, ReasonStaleConfig, ReasonNoRoute, ReasonNoKey, ReasonMalformed, ReasonHeader, ReasonTooLarge, ReasonBodyLost,
-	ReasonMemory, ReasonNoServer, ReasonServersFull, ReasonNoTime, ReasonEnding, ReasonTimeout, ReasonUnknown, ReasonPoison,
-	ReasonOutOfRegion, ReasonZoneEvacuated, ReasonCold,
+	ReasonNoConfig, ReasonStaleConfig, ReasonNoRoute, ReasonUnknownKey, ReasonMalformed, ReasonHeaderTooLarge, ReasonBodyTooLarge, ReasonBodyIncomplete,
+	ReasonBodyMemoryFull, ReasonNoServer, ReasonServersRefused, ReasonDeadlineUnmeetable, ReasonShuttingDown, ReasonTimeout, ReasonOutcomeUnknown, ReasonKillsServers,
+	ReasonOutOfRegion, ReasonZoneEvacuated, ReasonServersCold,
 }
 
 // Reasons returns every Reason.
@@ -48,17 +48,17 @@
 	switch r {
 	case ReasonNoRoute:
 		return http.StatusNotFound
-	case ReasonNoKey:
+	case ReasonUnknownKey:
 		return http.StatusUnauthorized
-	case ReasonMalformed, ReasonBodyLost:
+	case ReasonMalformed, ReasonBodyIncomplete:
 		return http.StatusBadRequest
-	case ReasonHeader:
+	case ReasonHeaderTooLarge:
 		return http.StatusRequestHeaderFieldsTooLarge
-	case ReasonTooLarge:
+	case ReasonBodyTooLarge:
 		return http.StatusRequestEntityTooLarge
 	case ReasonTimeout:
 		return http.StatusGatewayTimeout
-	case ReasonUnknown:
+	case ReasonOutcomeUnknown:
 		return http.StatusBadGateway
 	}
 	return http.StatusServiceUnavailable
@@ -75,16 +75,16 @@
 		return o.StaleRetryAfter
 	case ReasonOutOfRegion, ReasonZoneEvacuated:
 		return o.DeclaredRetryAfter
-	case ReasonEnding:
+	case ReasonShuttingDown:
 		return endingRetryAfter
-	case ReasonPoison:
+	case ReasonKillsServers:
 		return o.PoisonRetryAfter
 	}
 	return o.RetryAfter
 }
 
-// RefuseEnding answers a request that came after the gateway had ended.
-func RefuseEnding(w http.ResponseWriter) { refuse(w, ReasonEnding, endingRetryAfter) }
+// RefuseShuttingDown answers a request that came after the gateway had ended.
+func RefuseShuttingDown(w http.ResponseWriter) { refuse(w, ReasonShuttingDown, endingRetryAfter) }
 
 // refusal is the body of an answer of the gateway's own.
 type refusal struct {
@@ -97,7 +97,7 @@
 func refuse(w http.ResponseWriter, reason Reason, after time.Duration) {
 	status := reason.status()
 	body := refusal{Error: reason, Run: "not_run"}
-	if reason == ReasonUnknown || reason == ReasonTimeout {
+	if reason == ReasonOutcomeUnknown || reason == ReasonTimeout {
 		body.Run = "outcome_unknown"
 	}
 	if status == http.StatusServiceUnavailable {
--- a/gateway/requestlog_bench_test.go
+++ b/gateway/requestlog_bench_test.go
@@ -31,7 +31,7 @@
 	e := &exchange{
 		gateway: &Gateway{cfg: Config{Log: logger.WithField("node", "front-hobart-1")}},
 		begun:   time.Now(), firstOut: time.Now(), outcome: outcomeAnswered, status: 200, sends: 1,
-		env:    Envelope{ID: "c1-000123.1", Prompt: Prompt{InputTokens: 23_800}},
+		env:    RequestInfo{ID: "c1-000123.1", Prompt: Prompt{InputTokens: 23_800}},
 		route:  &routetable.Route{Name: "conflict-review"},
 		server: "10.1.0.40:8000", revision: 12,
 		placed: placement.Placement{Part: time.Second, Forecast: time.Second, Harm: 0.25},
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -29,16 +29,16 @@
 	return o
 }
 
-// Witness passes on to other entries that a request was running when a server died.
+// DeathReporter passes on to other entries that a request was running when a server died.
 // It must not block.
-type Witness interface {
-	Died(r quarantine.Record)
+type DeathReporter interface {
+	ReportDeath(r quarantine.Record)
 }
 
 // fingerprint is the same for every attempt with the same caller, path and body.
 func (e *exchange) fingerprint() uint64 {
 	h := xxhash.New()
-	for _, part := range [][]byte{[]byte(e.env.Key), []byte(target(e.incoming)), e.body} {
+	for _, part := range [][]byte{[]byte(e.env.APIKey), []byte(target(e.incoming)), e.body} {
 		// A hash never fails to take bytes; the zero parts them.
 		_, _ = h.Write(part)
 		_, _ = h.Write([]byte{0})
@@ -49,7 +49,7 @@
 // poisoned reports whether the request must not run any more.
 func (e *exchange) poisoned() bool {
 	e.mark = e.fingerprint()
-	return e.gateway.cfg.Suspects.Verdict(e.mark, time.Now()) == quarantine.Refuse
+	return e.gateway.cfg.Quarantine.Verdict(e.mark, time.Now()) == quarantine.Refuse
 }
 
 // survived clears a request that got its answer of the deaths that it was beside: one that kills
@@ -57,7 +57,7 @@
 // after three servers had died of anything else.
 func (e *exchange) survived() {
 	if e.outcome == outcomeAnswered && e.status < http.StatusInternalServerError {
-		e.gateway.cfg.Suspects.Survived(e.mark, time.Now())
+		e.gateway.cfg.Quarantine.Survived(e.mark, time.Now())
 	}
 }
 
@@ -69,12 +69,12 @@
 		return // it lives, or nobody can tell in time
 	}
 	death := placement.ServerKey(place.Server.Instance)
-	record, news := e.gateway.cfg.Suspects.Died(e.mark, death, time.Now())
+	record, news := e.gateway.cfg.Quarantine.Died(e.mark, death, time.Now())
 	if !news {
 		return
 	}
 	e.gateway.tally.deaths.Inc(1)
 	e.gateway.cfg.Log.WithField("request", e.env.ID).WithField("server", place.Server.Address).
 		WithField("deaths", record.Deaths).Warn("server died under a request")
-	e.gateway.cfg.Witness.Died(record)
+	e.gateway.cfg.DeathReporter.ReportDeath(record)
 }
--- a/internal/gatewaynode/end.go
+++ b/internal/gatewaynode/end.go
@@ -33,7 +33,7 @@
 // then ends the connections as they become idle, until the grace ends.
 func (n *Node) DrainAndWait(ctx context.Context) error {
 	begun := time.Now()
-	n.gateway.Leave()
+	n.gateway.BeginShutdown()
 	n.serveOn(ctx, begun)
 	ending, cancel := context.WithDeadline(context.Background(), begun.Add(n.cfg.Grace-exitBefore))
 	defer cancel()
@@ -51,7 +51,7 @@
 		if refusing && passed >= leave {
 			return
 		}
-		if n.gateway.Running() > 0 {
+		if n.gateway.ActiveRequests() > 0 {
 			quietSince = time.Time{}
 			continue
 		}
--- a/internal/gatewaynode/node.go
+++ b/internal/gatewaynode/node.go
@@ -185,21 +185,21 @@
 	}
 	n.exchange = exchange
 	n.gateway = gateway.New(gateway.Config{
-		Protocol:  cfg.Protocol,
-		Routes:    n.routes,
-		Directory: n.directory,
-		Zones:     n.zones,
-		Warmup:    n.warmup,
-		Pool:      n.pool,
-		Placer:    placement.NewPlanner(n.ledger, incarnation, time.Now, exchange.Teller()).Use(cmp.Or(cfg.Policy, placement.LeastLoss)),
-		Budget:    budget,
-		Suspects:  suspects,
-		Witness:   exchange.Witness(),
-		Reserver:  reservation.New(cfg.Engines(n.pool), incarnation, cfg.Log, cfg.Metrics),
-		Options:   cfg.Options,
-		Log:       cfg.Log,
-		Sampler:   cfg.Sampler,
-		Metrics:   cfg.Metrics,
+		Protocol:      cfg.Protocol,
+		Routes:        n.routes,
+		Directory:     n.directory,
+		Zones:         n.zones,
+		Warmup:        n.warmup,
+		Pool:          n.pool,
+		Placer:        placement.NewPlanner(n.ledger, incarnation, time.Now, exchange.Teller()).Use(cmp.Or(cfg.Policy, placement.LeastLoss)),
+		Budget:        budget,
+		Quarantine:    suspects,
+		DeathReporter: exchange.Witness(),
+		Reserver:      reservation.New(cfg.Engines(n.pool), incarnation, cfg.Log, cfg.Metrics),
+		Options:       cfg.Options,
+		Log:           cfg.Log,
+		Sampler:       cfg.Sampler,
+		Metrics:       cfg.Metrics,
 	})
 	if err := n.serve(); err != nil {
 		stop()
--- a/internal/gatewaynode/serve.go
+++ b/internal/gatewaynode/serve.go
@@ -55,7 +55,7 @@
 		MaxHeaderBytes:    n.cfg.Conns.HeaderBytes,
 	}
 	countUnreadable(srv, n.cfg.Metrics)
-	return graceful.New(graceful.Config{HTTP: srv, Refuse: gateway.RefuseEnding, Log: n.cfg.Log})
+	return graceful.New(graceful.Config{HTTP: srv, Refuse: gateway.RefuseShuttingDown, Log: n.cfg.Log})
 }
 
 func (n *Node) serveCallers(lis net.Listener) {
@@ -110,7 +110,7 @@
 		return errors.New("backend servers not listed yet")
 	case !n.knowsZones():
 		return errors.New("evacuated zones not listed yet")
-	case n.gateway.Ending():
+	case n.gateway.ShuttingDown():
 		return errors.New("shutting down")
 	}
 	return nil
--- a/internal/gatewaynode/status.go
+++ b/internal/gatewaynode/status.go
@@ -25,8 +25,8 @@
 func (n *Node) Status() admin.Status {
 	view := n.zones.View(n.directory.Proved())
 	s := admin.Status{
-		Name: n.cfg.Name, Role: role, Zone: n.cfg.Zone, Ready: n.Ready() == nil, Draining: n.gateway.Ending(),
-		Running: n.gateway.Running(), EvacuatedZones: view.Zones(), Servers: []admin.Server{},
+		Name: n.cfg.Name, Role: role, Zone: n.cfg.Zone, Ready: n.Ready() == nil, Draining: n.gateway.ShuttingDown(),
+		Running: n.gateway.ActiveRequests(), EvacuatedZones: view.Zones(), Servers: []admin.Server{},
 	}
 	if age, ok := n.zones.Age(); ok && n.evacuates() {
 		s.ZonesAgeMS = age.Milliseconds()
--- a/peering/exchange.go
+++ b/peering/exchange.go
@@ -122,7 +122,7 @@
 func (x *Exchange) Teller() placement.Teller { return x.outbox }
 
 // Witness returns what the entry's gateway tells of servers that died.
-func (x *Exchange) Witness() gateway.Witness { return x.outbox }
+func (x *Exchange) Witness() gateway.DeathReporter { return x.outbox }
 
 // Close ends the datagrams.
 func (x *Exchange) Close() error { return errors.Trace(x.datagrams.Close()) }
--- a/peering/exchange_test.go
+++ b/peering/exchange_test.go
@@ -187,7 +187,7 @@
 	await(t, "both found each other", func() bool { return <-a.entries == 2 })
 	for death := range uint64(quarantine.DefaultOptions.Deaths) {
 		record, _ := a.suspects.Died(5, death+1, time.Now())
-		a.exchange.Witness().Died(record)
+		a.exchange.Witness().ReportDeath(record)
 	}
 	await(t, "b refuses it", func() bool { return b.suspects.Verdict(5, time.Now()) == quarantine.Refuse })
 }
--- a/peering/outbox.go
+++ b/peering/outbox.go
@@ -68,8 +68,8 @@
 	o.signal()
 }
 
-// Died implements gateway.Witness.
-func (o *outbox) Died(r quarantine.Record) {
+// ReportDeath implements gateway.DeathReporter.
+func (o *outbox) ReportDeath(r quarantine.Record) {
 	o.mu.Lock()
 	o.died = append(o.died, r)
 	o.mu.Unlock()
