--- a/peering/exchange.go
+++ b/peering/exchange.go
@@ -122,7 +122,7 @@
 func (x *Exchange) AttemptPublisher() placement.AttemptPublisher { return x.outbox }
 
 // DeathReporter returns what the entry's gateway tells of servers that died.
-func (x *Exchange) DeathReporter() gateway.Witness { return x.outbox }
+func (x *Exchange) DeathReporter() gateway.DeathReporter { return x.outbox }
 
 // Close ends the datagrams.
 func (x *Exchange) Close() error { return errors.Trace(x.datagrams.Close()) }
