--- a/eligible/region.go
+++ b/eligible/region.go
@@ -17,5 +17,5 @@
 
 // Admits implements Stage.
 func (h InRegions) Admits(s upstream.Server) bool {
-	return h.Route.Allow(s.Region) && h.Workspace.Allow(s.Region)
+	return h.Route.Allows(s.Region) && h.Workspace.Allows(s.Region)
 }
--- a/entry/choose.go
+++ b/entry/choose.go
@@ -33,7 +33,7 @@
 		Class:        c.spec.Class(),
 		PromptTokens: prompt,
 		MaxTokens:    output,
-		Prefix:       c.spec.Prefix,
+		Prefix:       c.spec.PrefixHashes,
 		ShortShare:   c.shortShare,
 		Alone:        c.alone,
 		Exclude:      c.exclude,
@@ -53,11 +53,11 @@
 
 // holders returns the keys of servers that may have the prompt cached.
 func (c *call) holders() []uint64 {
-	if c.e.cfg.Prefixes == nil || len(c.spec.Prefix) == 0 {
+	if c.e.cfg.Prefixes == nil || len(c.spec.PrefixHashes) == 0 {
 		return nil
 	}
 	var keys []uint64
-	for _, h := range c.e.cfg.Prefixes.Holders(c.spec.Prefix, make([]routing.Holder, 0, holdersAsked)) {
+	for _, h := range c.e.cfg.Prefixes.Holders(c.spec.PrefixHashes, make([]routing.Holder, 0, holdersAsked)) {
 		keys = append(keys, h.Key)
 	}
 	return keys
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -52,10 +52,10 @@
 // needsClaim reports whether a resend of the request could make it run twice. A
 // non-idempotent request without a key can't be told from a new one: it is
 // dispatched once and never retried, and no record of it is of use.
-func (c *call) needsClaim() bool { return !c.spec.Idempotent && c.spec.Key != "" }
+func (c *call) needsClaim() bool { return !c.spec.Idempotent && c.spec.IdempotencyKey != "" }
 
 func (c *call) claimKey() claim.Key {
-	return claim.Key{Workspace: c.spec.Workspace, IdempotencyKey: c.spec.Key}
+	return claim.Key{Workspace: c.spec.Workspace, IdempotencyKey: c.spec.IdempotencyKey}
 }
 
 // claim records that the request is about to run. done tells that the caller
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -50,7 +50,7 @@
 	engineTokens int64
 	policy       routing.Policy
 	shortShare   float64 // see routing.Query
-	life         *request.Life
+	life         *request.Lifecycle
 	asm          *request.Assembler
 	out          sink
 	rnd          *rand.Rand
@@ -83,7 +83,7 @@
 		body:         body,
 		pool:         pool.Name,
 		engineTokens: pool.EngineTokens,
-		life:         request.NewLife(spec.Deadline, spec.Arrived),
+		life:         request.NewLifecycle(spec.Deadline, spec.Arrived),
 		asm:          request.NewAssembler(request.DefaultAssemblerLimits),
 		rnd:          random(),
 	}
@@ -110,7 +110,7 @@
 // to takes one step of the life cycle. A wrong step is a fault of this package;
 // it is counted, and the request goes on.
 func (c *call) to(s request.State) {
-	if err := c.life.To(s, time.Now()); err != nil {
+	if err := c.life.Transition(s, time.Now()); err != nil {
 		c.e.meters.count("entry.bad_transition")
 		c.e.log.WithError(err).WithField("request", c.spec.ID).Error("request life cycle")
 	}
@@ -145,14 +145,14 @@
 
 func (c *call) item() workspace.Item {
 	return workspace.Item{
-		Workspace: c.spec.Workspace,
-		Pool:      c.pool,
-		Class:     c.spec.Class(),
-		Cost:      c.spec.PromptTokens + c.spec.MaxTokens,
-		Prefill:   c.spec.PromptTokens,
-		Expected:  c.expected,
-		Deadline:  c.spec.Deadline,
-		Priority:  c.spec.Priority,
+		Workspace:        c.spec.Workspace,
+		Pool:             c.pool,
+		Class:            c.spec.Class(),
+		Cost:             c.spec.PromptTokens + c.spec.MaxTokens,
+		PrefillTokens:    c.spec.PromptTokens,
+		ExpectedDuration: c.expected,
+		Deadline:         c.spec.Deadline,
+		Priority:         c.spec.Priority,
 	}
 }
 
--- a/entry/errors.go
+++ b/entry/errors.go
@@ -71,13 +71,13 @@
 }
 
 type errorFields struct {
-	Message string            `json:"message"`
-	Type    string            `json:"type"`
-	Param   *string           `json:"param"`
-	Code    request.Certainty `json:"code"`
-	Reason  string            `json:"reason"`
-	Step    string            `json:"step,omitempty"`
-	ID      string            `json:"request_id,omitempty"`
+	Message string              `json:"message"`
+	Type    string              `json:"type"`
+	Param   *string             `json:"param"`
+	Code    request.FailureCode `json:"code"`
+	Reason  string              `json:"reason"`
+	Step    string              `json:"step,omitempty"`
+	ID      string              `json:"request_id,omitempty"`
 }
 
 func errorJSON(f *request.Failure, id string) []byte {
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -15,7 +15,7 @@
 // exchange runs start as this call's present attempt and relays its answer.
 func (c *call) exchange(ctx context.Context, to routing.Choice, start *wirepb.Start) result {
 	attempt := start.GetAttempt()
-	c.asm.Begin(attempt)
+	c.asm.StartAttempt(attempt)
 	c.began, c.first = time.Now(), time.Time{}
 	res := c.e.exchange(ctx, to, start, c.spec.Body, hooks{
 		sending: c.sending,
@@ -32,7 +32,7 @@
 
 func (c *call) sending() {
 	c.admitted++
-	c.life.BodySent()
+	c.life.MarkMayHaveRun()
 }
 
 // emit gives the next chunk in order to the caller.
@@ -40,9 +40,9 @@
 	if c.first.IsZero() {
 		c.first = time.Now()
 	}
-	if c.asm.Next() == 1 {
+	if c.asm.NextSequence() == 1 {
 		c.firstToken = c.first
-		c.ticket.Prefilled()
+		c.ticket.PrefillDone()
 		c.e.meters.firstToken(c.spec.Class(), time.Since(c.spec.Arrived))
 	}
 	if err := c.out.chunk(data); err != nil {
@@ -56,7 +56,7 @@
 
 // complete ends an answer that its agent calls whole, if it is.
 func (c *call) complete(res *result) {
-	if err := c.asm.Complete(res.end.GetChunks()); err != nil {
+	if err := c.asm.CheckComplete(res.end.GetChunks()); err != nil {
 		res.err = errors.Annotatef(err, "step end, peer %s", res.peer)
 		return
 	}
@@ -78,7 +78,7 @@
 		c.e.cfg.Quarantine.Survived(c.spec.Fingerprint, now)
 	}
 	if c.e.cfg.Prefixes != nil {
-		c.e.cfg.Prefixes.Note(backend.KeyOf(res.peer), c.spec.Prefix)
+		c.e.cfg.Prefixes.Note(backend.KeyOf(res.peer), c.spec.PrefixHashes)
 	}
 	if c.e.cfg.Costs != nil && !c.first.IsZero() {
 		c.e.cfg.Costs.Record(c.pool, routing.Observation{
@@ -105,7 +105,7 @@
 		Kind:             kindOf(s.Kind),
 		TimeoutMs:        uint64(max(time.Until(s.Deadline).Milliseconds(), 1)),
 		Idempotent:       s.Idempotent,
-		IdempotencyKey:   s.Key,
+		IdempotencyKey:   s.IdempotencyKey,
 		Fingerprint:      s.Fingerprint,
 		PromptTokens:     uint64(s.PromptTokens),
 		MaxTokens:        uint64(s.MaxTokens),
@@ -123,8 +123,8 @@
 			start.Headers = append(start.Headers, &wirepb.Header{Name: name, Value: value})
 		}
 	}
-	if c.asm.Next() > 0 {
-		start.ResumeFrom = c.asm.Next()
+	if c.asm.NextSequence() > 0 {
+		start.ResumeFrom = c.asm.NextSequence()
 		start.PriorText = c.out.prior()
 	}
 	return start
--- a/entry/harness_test.go
+++ b/entry/harness_test.go
@@ -420,7 +420,7 @@
 }
 
 // wantFailure checks status, certainty and reason of a failure's body.
-func wantFailure(t *testing.T, w *httptest.ResponseRecorder, status int, code request.Certainty, reason string) {
+func wantFailure(t *testing.T, w *httptest.ResponseRecorder, status int, code request.FailureCode, reason string) {
 	t.Helper()
 	var body errorBody
 	if err := json.Unmarshal(w.Body.Bytes(), &body); err != nil {
--- a/entry/http.go
+++ b/entry/http.go
@@ -171,7 +171,7 @@
 	}
 	spec.Stream = body.Stream
 	spec.Fingerprint = body.fingerprint()
-	spec.Prefix = body.prefix()
+	spec.PrefixHashes = body.prefix()
 	spec.Body = withMaxTokens(spec.Body, spec.MaxTokens)
 	return nil
 }
@@ -203,15 +203,15 @@
 		return nil, f
 	}
 	return &request.Spec{
-		ID:         e.nextID(),
-		Kind:       kind,
-		Workspace:  name,
-		Priority:   class.Priority,
-		Key:        key,
-		Idempotent: !marked,
-		FirstSend:  first,
-		Arrived:    arrived,
-		Deadline:   arrived.Add(timeout),
+		ID:             e.nextID(),
+		Kind:           kind,
+		Workspace:      name,
+		Priority:       class.Priority,
+		IdempotencyKey: key,
+		Idempotent:     !marked,
+		FirstSend:      first,
+		Arrived:        arrived,
+		Deadline:       arrived.Add(timeout),
 	}, nil
 }
 
--- a/entry/outcome.go
+++ b/entry/outcome.go
@@ -41,7 +41,7 @@
 		return c.ended(ctx, "attempt"), true
 	}
 	f = c.describe(res)
-	verdict := request.Decide(c.situation(res))
+	verdict := request.DecideRetry(c.situation(res))
 	if verdict.Action == request.Fail {
 		return f, true
 	}
@@ -61,7 +61,7 @@
 		return f, true
 	}
 	c.e.meters.retries.Inc(1)
-	if c.asm.Next() > 0 {
+	if c.asm.NextSequence() > 0 {
 		c.e.meters.resumes.Inc(1)
 	}
 	return f, false
@@ -72,7 +72,7 @@
 		return
 	}
 	if res.provedNotRun() {
-		c.life.ProvedNotRun(c.mayHaveRun)
+		c.life.MarkNotRun(c.mayHaveRun)
 		return
 	}
 	c.mayHaveRun = true
@@ -89,14 +89,14 @@
 	c.e.cfg.Quarantine.Died(c.spec.Fingerprint, res.end.GetDeath(), time.Now())
 }
 
-func (c *call) situation(res result) request.Situation {
+func (c *call) situation(res result) request.AttemptOutcome {
 	code := res.end.GetCode()
 	status := res.end.GetStatus()
-	return request.Situation{
+	return request.AttemptOutcome{
 		Idempotent: c.spec.Idempotent,
 		Refused:    res.provedNotRun(),
 		Sent:       res.sent,
-		FirstByte:  c.asm.Next() > 0 || c.out.started(),
+		FirstByte:  c.asm.NextSequence() > 0 || c.out.started(),
 		EngineDead: code == wirepb.EndCode_END_ENGINE_DIED,
 		Rejected: refusedForGood(res.refuse) ||
 			code == wirepb.EndCode_END_ENGINE_ERROR && status >= 400 && status < 500,
@@ -123,7 +123,7 @@
 
 // failure makes a failure that says no more than is known.
 func (c *call) failure(status int, reason, step, message string, retry time.Duration) *request.Failure {
-	return &request.Failure{Code: c.life.Certainty(), Reason: reason, Message: message,
+	return &request.Failure{Code: c.life.FailureCode(), Reason: reason, Message: message,
 		Status: status, RetryAfter: retry, Step: step}
 }
 
@@ -131,7 +131,7 @@
 func (c *call) describe(res result) *request.Failure {
 	if res.refuse != nil {
 		f := refusal(res.refuse, res.peer)
-		f.Code = c.life.Certainty()
+		f.Code = c.life.FailureCode()
 		return f
 	}
 	f := c.failure(http.StatusBadGateway, reasonStreamBroken, "answer", "", 0)
@@ -144,7 +144,7 @@
 		return f
 	}
 	if errors.Is(res.err, request.ErrIncomplete) || errors.Is(res.err, request.ErrOverrun) ||
-		errors.Is(res.err, request.ErrWindow) || errors.Is(res.err, errBadChunk) {
+		errors.Is(res.err, request.ErrTooFarAhead) || errors.Is(res.err, errBadChunk) {
 		f.Reason = reasonBadAnswer
 		return f
 	}
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -25,7 +25,7 @@
 	body, err := io.ReadAll(io.LimitReader(r.Body, answerBuffer+1))
 	if err != nil {
 		e.logAnswer(r.Status, "answer broke")
-		return e.after(request.Situation{Sent: true, Deadline: timeUp(ctx)})
+		return e.after(request.AttemptOutcome{Sent: true, Deadline: timeUp(ctx)})
 	}
 	a := &answer{status: r.Status, header: r.Header, body: body}
 	if len(body) > answerBuffer {
@@ -34,7 +34,7 @@
 	if isRetriable(r.Status) && e.route.Repeatable() {
 		e.held = a
 		e.logAnswer(r.Status, "server failed")
-		return e.after(request.Situation{Sent: true, Deadline: timeUp(ctx)})
+		return e.after(request.AttemptOutcome{Sent: true, Deadline: timeUp(ctx)})
 	}
 	a.deliver(e)
 	return stop, ""
@@ -53,7 +53,7 @@
 // passLong passes on an answer that is too long to be held. From its head on, a
 // break ends the caller's connection.
 func (e *exchange) passLong(a *answer, r *upstream.Response) (step, Reason) {
-	e.head(a.status, a.header, r.Length)
+	e.head(a.status, a.header, r.ContentLength)
 	if _, err := e.writer.Write(a.body); err != nil {
 		e.outcome = outcomeGone
 		return stop, ""
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -95,7 +95,7 @@
 
 // rank is that of the request: its workspace's goes before its route's.
 func (e *exchange) rank() int {
-	if e.workspace != nil && e.workspace.Ranked {
+	if e.workspace != nil && e.workspace.HasPriority {
 		return e.workspace.Priority
 	}
 	return e.route.Priority
@@ -118,12 +118,12 @@
 	a.Helpers = helpersOf(run.Placement, run.memory)
 	e.gateway.cfg.Protocol.Encode(header, a)
 	return e.gateway.cfg.Pool.Do(ctx, run.Server.Address, &upstream.Request{
-		Method: e.incoming.Method,
-		Target: target(e.incoming),
-		Host:   e.incoming.Host,
-		Header: header,
-		Body:   e.body,
-		Mine:   e.mine,
+		Method:          e.incoming.Method,
+		Target:          target(e.incoming),
+		Host:            e.incoming.Host,
+		Header:          header,
+		Body:            e.body,
+		MatchesResponse: e.mine,
 	})
 }
 
@@ -157,7 +157,7 @@
 	if sent {
 		e.suspect(ctx, run.Placement)
 	}
-	return e.after(request.Situation{Sent: sent, Deadline: timeUp(ctx)})
+	return e.after(request.AttemptOutcome{Sent: sent, Deadline: timeUp(ctx)})
 }
 
 // answered follows the head of an answer.
@@ -167,14 +167,14 @@
 	if v.NotRun {
 		run.Refused(v.AtFault)
 		e.logRefused(r.Status, v.AtFault)
-		return e.after(request.Situation{Refused: true, Sent: true})
+		return e.after(request.AttemptOutcome{Refused: true, Sent: true})
 	}
 	if e.stream != nil && r.Status == http.StatusOK && isEvents(r.Header) {
 		return e.passStream(ctx, run, r)
 	}
 	if e.stream != nil && e.stream.started {
 		// The head is out; a failure to go on can't be passed on.
-		return e.after(request.Situation{Sent: true, Deadline: timeUp(ctx)})
+		return e.after(request.AttemptOutcome{Sent: true, Deadline: timeUp(ctx)})
 	}
 	return e.passAnswer(ctx, r)
 }
--- a/gateway/candidates.go
+++ b/gateway/candidates.go
@@ -20,7 +20,7 @@
 	now := time.Now()
 	warm := e.warm(now)
 	var servers []upstream.Server
-	servers, e.keptOut = eligible.Narrow(g.cfg.Directory.Of(e.service.Name, now),
+	servers, e.keptOut = eligible.Narrow(g.cfg.Directory.AvailableServers(e.service.Name, now),
 		e.inRegions(), eligible.InUse{Zones: warm.Zones}, warm)
 	var candidates, had []placement.Candidate
 	for _, s := range servers {
@@ -50,7 +50,7 @@
 	return eligible.Warm{
 		Limiter:   g.cfg.Warmup,
 		PerSecond: e.service.ColdPerSecond,
-		Zones:     g.cfg.Zones.View(g.cfg.Directory.Proved()),
+		Zones:     g.cfg.Zones.View(g.cfg.Directory.CurrentAsOf()),
 		Now:       now,
 	}
 }
--- a/gateway/candidates_test.go
+++ b/gateway/candidates_test.go
@@ -24,7 +24,7 @@
 }
 
 // with puts a changed sample configuration in force.
-func (w *world) with(change func(*routetable.Declared)) *world {
+func (w *world) with(change func(*routetable.Config)) *world {
 	d := declared(2)
 	change(&d)
 	w.routes.Offer(routetable.New(d), *w.clock)
@@ -107,7 +107,7 @@
 // A request reaches a server in a region that its route or its workspace doesn't allow: by the
 // first attempt, a retry, a resumed stream, or because none is left in the others.
 func TestRequestsStayInTheirRegions(t *testing.T) {
-	bound := func(d *routetable.Declared) {
+	bound := func(d *routetable.Config) {
 		for i := range d.Routes {
 			d.Routes[i].Regions = routetable.Regions{"north", "west"}
 		}
@@ -148,7 +148,7 @@
 
 // All requests of an entry go to a server that has just started, which bears few.
 func TestColdServerGetsItsShareOnly(t *testing.T) {
-	cold := func(d *routetable.Declared) { d.Services[0].ColdPerSecond = 2 }
+	cold := func(d *routetable.Config) { d.Services[0].ColdPerSecond = 2 }
 	w := newWorld(t, answers("a"), answers("b")).with(cold)
 	for _, s := range w.directory.All() {
 		if s.Instance == "s1" {
@@ -168,7 +168,7 @@
 
 // Requests that are placed on a cold server at the same moment are all sent there.
 func TestShareOfAColdServerIsTakenOnce(t *testing.T) {
-	cold := func(d *routetable.Declared) { d.Services[0].ColdPerSecond = 1 }
+	cold := func(d *routetable.Config) { d.Services[0].ColdPerSecond = 1 }
 	arrived, release := make(chan struct{}, 8), make(chan struct{})
 	w := newWorld(t, func(rw http.ResponseWriter, _ *http.Request) {
 		arrived <- struct{}{}
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -242,15 +242,15 @@
 )
 
 // after decides by how an attempt ended. The table is package request's.
-func (e *exchange) after(s request.Situation) (step, Reason) {
+func (e *exchange) after(s request.AttemptOutcome) (step, Reason) {
 	s.Idempotent = e.route.Repeatable()
 	s.FirstByte = e.stream != nil && e.stream.started
 	if !s.Refused && s.Sent {
 		e.mayRun = true
 	}
-	v := request.Decide(s)
+	v := request.DecideRetry(s)
 	reason := ReasonUnknown
-	if v.Certainty == request.NotRun && !e.mayRun {
+	if v.FailureCode == request.NotRun && !e.mayRun {
 		reason = ReasonServersFull
 	}
 	if v.Action == request.Fail {
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -84,7 +84,7 @@
 	wantStatus(t, r, err, http.StatusServiceUnavailable) // it may have been added since
 	r, _, err = w.ask(http.MethodGet, "/safe/", "")
 	wantStatus(t, r, err, http.StatusOK)
-	w.routes.Prove(*w.clock)
+	w.routes.MarkCurrent(*w.clock)
 	r, _, err = w.ask(http.MethodGet, "/keyed/", "", hKey, "k")
 	wantStatus(t, r, err, http.StatusOK)
 }
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -149,7 +149,7 @@
 	return w
 }
 
-func declared(revision uint64) routetable.Declared {
+func declared(revision uint64) routetable.Config {
 	route := func(prefix string, kind routetable.Kind) routetable.Route {
 		return routetable.Route{
 			Name: prefix, Host: "h", Prefix: prefix, Kind: kind, Public: true, MaxAttempts: 2,
@@ -158,7 +158,7 @@
 	}
 	stream, keyed := route("/stream/", routetable.Stream), route("/keyed/", routetable.Idempotent)
 	stream.Resumable, keyed.Public = true, false
-	return routetable.Declared{
+	return routetable.Config{
 		Revision:   revision,
 		Routes:     []routetable.Route{route("/safe/", routetable.Idempotent), route("/once/", routetable.NonIdempotent), stream, route("/whole/", routetable.Stream), keyed},
 		Services:   []routetable.Service{{Name: "s"}},
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -92,7 +92,7 @@
 	e.gateway.cfg.Log.WithFields(logrus.Fields{
 		"request": e.env.ID, "server": e.server, "events": e.stream.events, "behind": e.stream.lastID, "deadline": timeUp(ctx),
 	}).Info("stream broke")
-	return e.after(request.Situation{Sent: true, Deadline: timeUp(ctx)})
+	return e.after(request.AttemptOutcome{Sent: true, Deadline: timeUp(ctx)})
 }
 
 // forward gives the caller the whole events in pending that it hasn't got yet.
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -65,7 +65,7 @@
 func (e *exchange) suspect(ctx context.Context, place placement.Placement) {
 	ctx, cancel := context.WithTimeout(ctx, aliveTimeout)
 	defer cancel()
-	if e.gateway.cfg.Pool.Accepts(ctx, place.Server.Address) || ctx.Err() != nil {
+	if e.gateway.cfg.Pool.Probe(ctx, place.Server.Address) || ctx.Err() != nil {
 		return // it lives, or nobody can tell in time
 	}
 	death := placement.ServerKey(place.Server.Instance)
--- a/internal/chaos/probe.go
+++ b/internal/chaos/probe.go
@@ -32,7 +32,7 @@
 // reply is what one send came to.
 type reply struct {
 	status  int
-	code    request.Certainty // of a failure
+	code    request.FailureCode // of a failure
 	reason  string
 	id      string // that the entry gave the request
 	body    []byte
@@ -170,9 +170,9 @@
 // failureBody is the part of an error that is read.
 type failureBody struct {
 	Error struct {
-		Code   request.Certainty `json:"code"`
-		Reason string            `json:"reason"`
-		ID     string            `json:"request_id"`
+		Code   request.FailureCode `json:"code"`
+		Reason string              `json:"reason"`
+		ID     string              `json:"request_id"`
 	} `json:"error"`
 }
 
--- a/internal/gatewaynode/node.go
+++ b/internal/gatewaynode/node.go
@@ -239,7 +239,7 @@
 
 func (n *Node) lost(kind string) {
 	if kind == n.cfg.Decoder.ServersKind {
-		n.directory.Lost()
+		n.directory.MarkStoreUnavailable()
 	}
 }
 
--- a/internal/gatewaynode/sink.go
+++ b/internal/gatewaynode/sink.go
@@ -66,7 +66,7 @@
 		}
 		return
 	}
-	s.routes.Prove(l.Asked)
+	s.routes.MarkCurrent(l.Asked)
 }
 
 func (s *sink) replaceServers(l objectapi.Listing) {
@@ -79,14 +79,14 @@
 		}
 	}
 	s.directory.Replace(servers, now)
-	s.directory.Prove(l.Asked)
+	s.directory.MarkCurrent(l.Asked)
 	s.listed.Store(true)
 	s.cfg.Log.WithFields(logrus.Fields{"servers": len(servers), "object_revision": l.Revision}).Info("backend servers listed")
 }
 
 func (s *sink) changeServers(l objectapi.Listing) {
 	now := time.Now()
-	s.directory.Confirm(now)
+	s.directory.MarkStoreAvailable(now)
 	for _, o := range l.Objects {
 		if o.Deleted {
 			s.directory.Remove(o.Name, now)
@@ -106,12 +106,12 @@
 		}
 		s.logServer(server, state, o.Version)
 	}
-	s.directory.Prove(l.Asked)
+	s.directory.MarkCurrent(l.Asked)
 }
 
 // noteRestart forgets the work of a server that has started again under its name.
 func (s *sink) noteRestart(server upstream.Server, now time.Time) {
-	if !s.directory.Restarted(server) {
+	if !s.directory.IsRestart(server) {
 		return
 	}
 	s.ledger.Restarted(placement.ServerKey(server.Instance), now)
--- a/internal/gatewaynode/status.go
+++ b/internal/gatewaynode/status.go
@@ -23,7 +23,7 @@
 
 // Status implements admin.StatusProvider.
 func (n *Node) Status() admin.Status {
-	view := n.zones.View(n.directory.Proved())
+	view := n.zones.View(n.directory.CurrentAsOf())
 	s := admin.Status{
 		Name: n.cfg.Name, Role: role, Zone: n.cfg.Zone, Ready: n.Ready() == nil, Draining: n.gateway.Ending(),
 		Running: n.gateway.Running(), EvacuatedZones: view.Zones(), Servers: []admin.Server{},
--- a/internal/load/outcome.go
+++ b/internal/load/outcome.go
@@ -50,7 +50,7 @@
 
 // failed sets what an API failure implies.
 func (o *outcome) failed(code, reason string, httpStatus string) {
-	switch request.Certainty(code) {
+	switch request.FailureCode(code) {
 	case request.NotRun:
 		o.status, o.reason = StatusNotRun, reason
 	case request.OutcomeUnknown:
--- a/internal/node/entry_catalog.go
+++ b/internal/node/entry_catalog.go
@@ -183,13 +183,13 @@
 	var out [request.ClassCount]workspace.Capacity
 	for class := range out {
 		out[class] = workspace.Capacity{
-			Slots:   max(minSlots, int(int64(live*slotsPerServer)/entries)),
-			Tokens:  tokens / entries,
-			Prefill: int64(prefillWindow * float64(rate/entries)),
+			Slots:         max(minSlots, int(int64(live*slotsPerServer)/entries)),
+			Tokens:        tokens / entries,
+			PrefillTokens: int64(prefillWindow * float64(rate/entries)),
 		}
 	}
 	long := &out[request.ClassHuge]
 	long.Tokens = int64(float64(long.Tokens) * longWindow)
-	long.Prefill = int64(longPrefillWindow * longWindow * float64(rate/entries))
+	long.PrefillTokens = int64(longPrefillWindow * longWindow * float64(rate/entries))
 	return out
 }
--- a/request/assembler.go
+++ b/request/assembler.go
@@ -7,8 +7,8 @@
 
 // Errors of an Assembler.
 const (
-	// ErrWindow: a chunk lies further ahead than the assembler may keep.
-	ErrWindow = errors.ConstError("chunk too far ahead")
+	// ErrTooFarAhead: a chunk lies further ahead than the assembler may keep.
+	ErrTooFarAhead = errors.ConstError("chunk too far ahead")
 	// ErrIncomplete: the answer's end came before all its chunks.
 	ErrIncomplete = errors.ConstError("answer incomplete")
 	// ErrOverrun: there are more chunks than the end announced.
@@ -29,10 +29,10 @@
 
 // AssemblerCounts tells what an Assembler met.
 type AssemblerCounts struct {
-	Given   uint64 // chunks passed to the caller
-	Doubled uint64 // dropped: already given or already kept
-	Late    uint64 // dropped: of an attempt that has been given up
-	Early   uint64 // kept until their turn
+	Delivered uint64 // chunks passed to the caller
+	Duplicate uint64 // dropped: already given or already kept
+	Stale     uint64 // dropped: of an attempt that has been given up
+	Buffered  uint64 // kept until their turn
 }
 
 // Assembler puts the numbered chunks of one answer in order and passes each to
@@ -52,17 +52,17 @@
 	return &Assembler{limits: limits}
 }
 
-// Next returns the number of the chunk that the caller needs next, which is
+// NextSequence returns the number of the chunk that the caller needs next, which is
 // also how many it has.
-func (a *Assembler) Next() uint64 { return a.next }
+func (a *Assembler) NextSequence() uint64 { return a.next }
 
 // Counts returns what has been met so far.
 func (a *Assembler) Counts() AssemblerCounts { return a.counts }
 
-// Begin makes attempt the one whose chunks count. Chunks kept from an earlier
+// StartAttempt makes attempt the one whose chunks count. Chunks kept from an earlier
 // attempt are dropped: another engine's wording may differ behind the point up
 // to which the caller has the answer.
-func (a *Assembler) Begin(attempt uint32) {
+func (a *Assembler) StartAttempt(attempt uint32) {
 	a.attempt = attempt
 	clear(a.early)
 	a.bytes = 0
@@ -70,14 +70,14 @@
 
 // Offer takes one chunk. It calls emit, in order, for each chunk whose turn has
 // come. Chunks of other attempts and doubled ones are counted and dropped. It
-// returns ErrWindow if the chunk is too far ahead to keep, and emit's error.
+// returns ErrTooFarAhead if the chunk is too far ahead to keep, and emit's error.
 func (a *Assembler) Offer(attempt uint32, sequence uint64, data []byte, emit func([]byte) error) error {
 	if attempt != a.attempt {
-		a.counts.Late++
+		a.counts.Stale++
 		return nil
 	}
 	if sequence < a.next {
-		a.counts.Doubled++
+		a.counts.Duplicate++
 		return nil
 	}
 	if sequence > a.next {
@@ -89,8 +89,8 @@
 	return a.giveKept(emit)
 }
 
-// Complete checks that the answer is whole, given the total its end announced.
-func (a *Assembler) Complete(total uint64) error {
+// CheckComplete checks that the answer is whole, given the total its end announced.
+func (a *Assembler) CheckComplete(total uint64) error {
 	if a.next < total {
 		return errors.Annotatef(ErrIncomplete, "%d of %d chunks", a.next, total)
 	}
@@ -104,18 +104,18 @@
 // reused for the next message.
 func (a *Assembler) keep(sequence uint64, data []byte) error {
 	if _, ok := a.early[sequence]; ok {
-		a.counts.Doubled++
+		a.counts.Duplicate++
 		return nil
 	}
 	if len(a.early) >= a.limits.Chunks || a.bytes+len(data) > a.limits.Bytes {
-		return errors.Annotatef(ErrWindow, "chunk %d while %d is due", sequence, a.next)
+		return errors.Annotatef(ErrTooFarAhead, "chunk %d while %d is due", sequence, a.next)
 	}
 	if a.early == nil {
 		a.early = make(map[uint64][]byte)
 	}
 	a.early[sequence] = append([]byte(nil), data...)
 	a.bytes += len(data)
-	a.counts.Early++
+	a.counts.Buffered++
 	return nil
 }
 
@@ -139,6 +139,6 @@
 	// Counted as given before emit: if emit fails half-way, the caller may have
 	// part of this chunk, and sending it again would give bytes twice.
 	a.next++
-	a.counts.Given++
+	a.counts.Delivered++
 	return emit(data)
 }
--- a/request/broken_test.go
+++ b/request/broken_test.go
@@ -11,16 +11,16 @@
 func TestBrokenStatesAreNoticed(t *testing.T) {
 	now := time.Unix(1000, 0)
 	invarianttest.Violates(t, "request.one-final-answer", func() {
-		l := NewLife(now.Add(time.Hour), now)
-		_ = l.To(Failed, now)
-		_ = l.To(Failed, now)
+		l := NewLifecycle(now.Add(time.Hour), now)
+		_ = l.Transition(Failed, now)
+		_ = l.Transition(Failed, now)
 	})
 	invarianttest.Violates(t, "request.ends-by-deadline", func() {
-		_ = NewLife(now, now).To(Failed, now.Add(time.Hour))
+		_ = NewLifecycle(now, now).Transition(Failed, now.Add(time.Hour))
 	})
 	invarianttest.Violates(t, "request.not-run-is-true", func() {
-		l := NewLife(now.Add(time.Hour), now)
-		l.BodySent()
+		l := NewLifecycle(now.Add(time.Hour), now)
+		l.MarkMayHaveRun()
 		l.CheckFailure(&Failure{Code: NotRun})
 	})
 	invarianttest.Violates(t, "request.chunks-in-order-once", func() {
--- a/request/example_test.go
+++ b/request/example_test.go
@@ -19,33 +19,33 @@
 			fmt.Println(err)
 		}
 	}
-	answer.Begin(1)
+	answer.StartAttempt(1)
 	offer(1, 0, "the ")
-	answer.Begin(2) // the first attempt broke; this one resumes at Next
+	answer.StartAttempt(2) // the first attempt broke; this one resumes at NextSequence
 	offer(1, 1, "late ")
 	offer(2, 2, "answer")
 	offer(2, 1, "whole ")
 	offer(2, 1, "whole ")
 	fmt.Println()
-	fmt.Println(answer.Complete(3), answer.Complete(4))
+	fmt.Println(answer.CheckComplete(3), answer.CheckComplete(4))
 	// Output:
 	// the whole answer
 	// <nil> 3 of 4 chunks: answer incomplete
 }
 
 // After a broken stream only an idempotent request is tried again.
-func ExampleDecide() {
-	names := map[request.Action]string{
-		request.Fail: "fail", request.Another: "another attempt", request.Resume: "resume",
+func ExampleDecideRetry() {
+	names := map[request.RetryAction]string{
+		request.Fail: "fail", request.Retry: "another attempt", request.Resume: "resume",
 	}
-	for _, s := range []request.Situation{
+	for _, s := range []request.AttemptOutcome{
 		{Refused: true},
 		{Sent: true},
 		{Sent: true, Idempotent: true},
 		{Sent: true, Idempotent: true, FirstByte: true},
 	} {
-		v := request.Decide(s)
-		fmt.Println(names[v.Action], v.Certainty)
+		v := request.DecideRetry(s)
+		fmt.Println(names[v.Action], v.FailureCode)
 	}
 	// Output:
 	// another attempt not_run
--- a/request/life.go
+++ b/request/life.go
@@ -8,8 +8,8 @@
 	"github.com/juju/errors"
 )
 
-// ErrTransition is returned for a step that the life cycle doesn't have.
-const ErrTransition = errors.ConstError("request life cycle: no such transition")
+// ErrInvalidTransition is returned for a step that the life cycle doesn't have.
+const ErrInvalidTransition = errors.ConstError("request life cycle: no such transition")
 
 // State is where a request is in its life.
 type State uint8
@@ -65,9 +65,9 @@
 // on its way inside the process.
 const EndGrace = 2 * time.Second
 
-// Life is the life of one request. It is safe for concurrent use; mu guards all
+// Lifecycle is the life of one request. It is safe for concurrent use; mu guards all
 // fields.
-type Life struct {
+type Lifecycle struct {
 	mu       sync.Mutex
 	state    State
 	deadline time.Time
@@ -78,21 +78,21 @@
 	changed    time.Time
 }
 
-// NewLife starts the life of a request at Received.
-func NewLife(deadline, now time.Time) *Life {
-	return &Life{deadline: deadline, changed: now}
+// NewLifecycle starts the life of a request at Received.
+func NewLifecycle(deadline, now time.Time) *Lifecycle {
+	return &Lifecycle{deadline: deadline, changed: now}
 }
 
 // State returns the present state.
-func (l *Life) State() State {
+func (l *Lifecycle) State() State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state
 }
 
-// To takes one step. It returns ErrTransition, and leaves the state as it is,
+// Transition takes one step. It returns ErrInvalidTransition, and leaves the state as it is,
 // where the life cycle has no such step.
-func (l *Life) To(to State, now time.Time) error {
+func (l *Lifecycle) Transition(to State, now time.Time) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if to.Final() {
@@ -106,38 +106,38 @@
 			return nil
 		}
 	}
-	return errors.Annotatef(ErrTransition, "from %s to %s", l.state, to)
+	return errors.Annotatef(ErrInvalidTransition, "from %s to %s", l.state, to)
 }
 
 // Expired reports whether the deadline has passed.
-func (l *Life) Expired(now time.Time) bool { return !now.Before(l.deadline) }
+func (l *Lifecycle) Expired(now time.Time) bool { return !now.Before(l.deadline) }
 
 // BeginAttempt numbers a new attempt, from 1.
-func (l *Life) BeginAttempt() uint32 {
+func (l *Lifecycle) BeginAttempt() uint32 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.attempts++
 	return l.attempts
 }
 
-// BodySent records that the present attempt may begin to run from now on. Call
+// MarkMayHaveRun records that the present attempt may begin to run from now on. Call
 // it before the first byte of the body is sent.
-func (l *Life) BodySent() {
+func (l *Lifecycle) MarkMayHaveRun() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.mayHaveRun = true
 }
 
-// ProvedNotRun records that the present attempt has ended and can't have begun.
+// MarkNotRun records that the present attempt has ended and can't have begun.
 // earlier tells whether an earlier attempt may have run; then it stays so.
-func (l *Life) ProvedNotRun(earlier bool) {
+func (l *Lifecycle) MarkNotRun(earlier bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.mayHaveRun = earlier
 }
 
-// Certainty returns what a failure at this moment may truthfully say.
-func (l *Life) Certainty() Certainty {
+// FailureCode returns what a failure at this moment may truthfully say.
+func (l *Lifecycle) FailureCode() FailureCode {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.mayHaveRun {
@@ -148,8 +148,8 @@
 
 // CheckFailure asserts that a failure about to be answered claims no more than
 // is known, and weakens it to outcome_unknown where it does.
-func (l *Life) CheckFailure(f *Failure) *Failure {
-	sure := l.Certainty()
+func (l *Lifecycle) CheckFailure(f *Failure) *Failure {
+	sure := l.FailureCode()
 	if f.Code != NotRun {
 		return f
 	}
--- a/request/life_test.go
+++ b/request/life_test.go
@@ -12,8 +12,8 @@
 var t0 = time.Unix(1_000_000, 0)
 
 func TestLifeRefusesStepsItDoesNotHave(t *testing.T) {
-	l := NewLife(t0.Add(time.Minute), t0)
-	if err := l.To(Answering, t0); !errors.Is(err, ErrTransition) {
+	l := NewLifecycle(t0.Add(time.Minute), t0)
+	if err := l.Transition(Answering, t0); !errors.Is(err, ErrInvalidTransition) {
 		t.Fatalf("received to answering: got %v", err)
 	}
 	if got := l.State(); got != Received {
@@ -26,13 +26,13 @@
 // both paths end the request.
 // Cause: two owners of the final answer. The life cycle lets one of them win.
 func TestSecondFinalAnswerIsCaught(t *testing.T) {
-	l := NewLife(t0.Add(time.Minute), t0)
+	l := NewLifecycle(t0.Add(time.Minute), t0)
 	for _, s := range []State{Admitted, Queued, Dispatched, Answering, Finished} {
-		if err := l.To(s, t0); err != nil {
+		if err := l.Transition(s, t0); err != nil {
 			t.Fatal(err)
 		}
 	}
-	mustPanic(t, func() { _ = l.To(Failed, t0) })
+	mustPanic(t, func() { _ = l.Transition(Failed, t0) })
 }
 
 // Symptom: "not run" is answered for a confirmation that was made.
@@ -40,18 +40,18 @@
 // failure with not_run.
 // Cause: the path judged by its own step, not by what had been sent before.
 func TestUntrueNotRunIsCaught(t *testing.T) {
-	l := NewLife(t0.Add(time.Minute), t0)
-	l.BodySent()
+	l := NewLifecycle(t0.Add(time.Minute), t0)
+	l.MarkMayHaveRun()
 	mustPanic(t, func() { l.CheckFailure(&Failure{Code: NotRun}) })
-	l.ProvedNotRun(false)
+	l.MarkNotRun(false)
 	if got := l.CheckFailure(&Failure{Code: NotRun}).Code; got != NotRun {
 		t.Fatalf("after proof: %s", got)
 	}
 }
 
 func TestLateEndIsCaught(t *testing.T) {
-	l := NewLife(t0, t0)
-	mustPanic(t, func() { _ = l.To(Failed, t0.Add(EndGrace+1)) })
+	l := NewLifecycle(t0, t0)
+	mustPanic(t, func() { _ = l.Transition(Failed, t0.Add(EndGrace+1)) })
 }
 
 // Symptom: a caller's text has a piece twice, or lacks one.
@@ -67,10 +67,10 @@
 			got = append(got, b...)
 			return nil
 		}
-		for attempt := uint32(1); asm.Next() < total; attempt++ {
-			asm.Begin(attempt)
-			reach := rapid.Uint64Range(asm.Next(), total).Draw(t, "reach")
-			offers := rapid.Permutation(numbers(asm.Next(), reach)).Draw(t, "order")
+		for attempt := uint32(1); asm.NextSequence() < total; attempt++ {
+			asm.StartAttempt(attempt)
+			reach := rapid.Uint64Range(asm.NextSequence(), total).Draw(t, "reach")
+			offers := rapid.Permutation(numbers(asm.NextSequence(), reach)).Draw(t, "order")
 			for _, n := range offers {
 				from := attempt
 				if rapid.IntRange(0, 4).Draw(t, "stale") == 0 {
@@ -81,7 +81,7 @@
 				}
 			}
 		}
-		if err := asm.Complete(total); err != nil {
+		if err := asm.CheckComplete(total); err != nil {
 			t.Fatal(err)
 		}
 		want := make([]byte, total)
@@ -107,45 +107,45 @@
 
 func TestAssemblerBoundsWhatItKeeps(t *testing.T) {
 	asm := NewAssembler(AssemblerLimits{Chunks: 2, Bytes: 100})
-	asm.Begin(1)
+	asm.StartAttempt(1)
 	none := func([]byte) error { t.Fatal("nothing is due"); return nil }
 	for n := uint64(1); n <= 2; n++ {
 		if err := asm.Offer(1, n, []byte("x"), none); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := asm.Offer(1, 3, []byte("x"), none); !errors.Is(err, ErrWindow) {
+	if err := asm.Offer(1, 3, []byte("x"), none); !errors.Is(err, ErrTooFarAhead) {
 		t.Fatalf("third early chunk: %v", err)
 	}
-	if err := asm.Complete(4); !errors.Is(err, ErrIncomplete) {
+	if err := asm.CheckComplete(4); !errors.Is(err, ErrIncomplete) {
 		t.Fatalf("cut answer: %v", err)
 	}
 }
 
-// Every row of the table in Decide, and the two things that must hold in all of
+// Every row of the table in DecideRetry, and the two things that must hold in all of
 // them: nothing non-idempotent is sent twice, and not_run is said only where
 // nothing began.
 func TestRetryTable(t *testing.T) {
 	for n := range 1 << 7 {
-		s := Situation{
+		s := AttemptOutcome{
 			Idempotent: n&1 != 0, Refused: n&2 != 0, Sent: n&4 != 0, FirstByte: n&8 != 0,
 			EngineDead: n&16 != 0, Rejected: n&32 != 0, Deadline: n&64 != 0,
 		}
-		v := Decide(s)
+		v := DecideRetry(s)
 		began := s.Sent && !s.Refused
 		if began && !s.Idempotent && v.Action != Fail {
 			t.Errorf("%+v: may run twice: %+v", s, v)
 		}
-		if began && v.Certainty == NotRun {
+		if began && v.FailureCode == NotRun {
 			t.Errorf("%+v: untrue not_run", s)
 		}
-		if s.FirstByte && v.Action == Another && began {
+		if s.FirstByte && v.Action == Retry && began {
 			t.Errorf("%+v: bytes would be given twice", s)
 		}
 		if (s.Deadline || s.Rejected) && v.Action != Fail {
 			t.Errorf("%+v: goes on: %+v", s, v)
 		}
-		if !began && !s.FirstByte && !s.Deadline && !s.Rejected && v.Action != Another {
+		if !began && !s.FirstByte && !s.Deadline && !s.Rejected && v.Action != Retry {
 			t.Errorf("%+v: a safe retry is not used", s)
 		}
 	}
@@ -155,13 +155,13 @@
 // Sequence: each request fails and is retried; load doubles; more fail.
 // Cause: retries bounded a request, not in all.
 func TestBudgetBoundsRetriesUnderOutage(t *testing.T) {
-	b := NewBudget(BudgetOptions{Share: 0.2, Burst: 5, PerSecond: 1})
+	b := NewRetryBudget(RetryBudgetOptions{Ratio: 0.2, Burst: 5, MinPerSecond: 1})
 	retries := 0
 	const requests = 1000
 	for i := range requests {
-		b.Earn()
+		b.RecordRequest()
 		now := t0.Add(time.Duration(i) * time.Millisecond)
-		for b.Spend(now) {
+		for b.TryWithdraw(now) {
 			retries++
 		}
 	}
--- a/request/request.go
+++ b/request/request.go
@@ -66,43 +66,43 @@
 
 // Spec is what the caller asked for. It does not change after admission.
 type Spec struct {
-	ID         string
-	Kind       Kind
-	Workspace  string
-	Model      string // a pool or a model that a pool serves
-	Adapter    string
-	Service    string // KindService
-	Method     string // KindService
-	Path       string // KindService: path behind /services/NAME, with query
-	Headers    map[string]string
-	Body       []byte
-	Stream     bool
-	Idempotent bool
-	Key        string // idempotency key; empty if none
-	FirstSend  bool   // by the caller's word, nothing was sent under the key before
-	Priority   int32  // of its service class; lower is sooner
-	Arrived    time.Time
-	Deadline   time.Time
+	ID             string
+	Kind           Kind
+	Workspace      string
+	Model          string // a pool or a model that a pool serves
+	Adapter        string
+	Service        string // KindService
+	Method         string // KindService
+	Path           string // KindService: path behind /services/NAME, with query
+	Headers        map[string]string
+	Body           []byte
+	Stream         bool
+	Idempotent     bool
+	IdempotencyKey string // idempotency key; empty if none
+	FirstSend      bool   // by the caller's word, nothing was sent under the key before
+	Priority       int32  // of its service class; lower is sooner
+	Arrived        time.Time
+	Deadline       time.Time
 	// PromptTokens and MaxTokens are estimates until the engine reports.
 	PromptTokens int64
 	MaxTokens    int64
 	// Fingerprint identifies the content (xxhash64 of model, adapter and body)
 	// for the quarantine; it is equal across resends.
 	Fingerprint uint64
-	// Prefix holds rolling hashes of the prompt's blocks, for cache affinity.
-	Prefix []uint64
+	// PrefixHashes holds rolling hashes of the prompt's blocks, for cache affinity.
+	PrefixHashes []uint64
 }
 
 // Class returns the request's length class.
 func (s *Spec) Class() Class { return ClassOf(s.PromptTokens) }
 
-// Certainty says what a failure implies about execution.
-type Certainty string
+// FailureCode says what a failure implies about execution.
+type FailureCode string
 
 // The only two things that a failure may say.
 const (
-	NotRun         Certainty = "not_run"
-	OutcomeUnknown Certainty = "outcome_unknown"
+	NotRun         FailureCode = "not_run"
+	OutcomeUnknown FailureCode = "outcome_unknown"
 )
 
 // HTTP statuses of refusals, for packages that do no I/O: net/http would bring
@@ -115,7 +115,7 @@
 // Failure is the final answer of a request that did not finish. Its fields are
 // what the caller sees.
 type Failure struct {
-	Code       Certainty
+	Code       FailureCode
 	Reason     string // a stable word: draining, deadline, quota, quarantined, ...
 	Message    string
 	Status     int           // HTTP status
--- a/request/retry.go
+++ b/request/retry.go
@@ -7,8 +7,8 @@
 	"golang.org/x/time/rate"
 )
 
-// Situation is how an attempt ended, as far as the entry knows.
-type Situation struct {
+// AttemptOutcome is how an attempt ended, as far as the entry knows.
+type AttemptOutcome struct {
 	Idempotent bool // the request may run more than once
 	Refused    bool // the agent refused, or an end proved that nothing began
 	Sent       bool // the body, or a part of it, was sent
@@ -18,26 +18,26 @@
 	Deadline   bool // the time limit has passed
 }
 
-// Action is what to do after an attempt has ended without an answer.
-type Action uint8
+// RetryAction is what to do after an attempt has ended without an answer.
+type RetryAction uint8
 
 // Actions.
 const (
-	Fail    Action = iota // answer the caller now
-	Another               // another attempt from the start, on another server
-	Resume                // another attempt behind the last chunk given
+	Fail   RetryAction = iota // answer the caller now
+	Retry                     // another attempt from the start, on another server
+	Resume                    // another attempt behind the last chunk given
 )
 
-// Verdict is an action with what a failure may say.
-type Verdict struct {
-	Action    Action
-	Certainty Certainty // for Fail, and for the case that no retry can be had
+// RetryDecision is an action with what a failure may say.
+type RetryDecision struct {
+	Action      RetryAction
+	FailureCode FailureCode // for Fail, and for the case that no retry can be had
 	// Suspect: the request was running when an engine died, so that it may have
 	// killed it and must not be tried beside others.
 	Suspect bool
 }
 
-// Decide is the table of safe retries:
+// DecideRetry is the table of safe retries:
 //
 //	| refused | sent | idempotent | first byte | → |
 //	| yes     | any  | any        | no         | another attempt; not_run
@@ -49,10 +49,10 @@
 // Past the deadline, or if the engine rejected the request itself, it fails in
 // every row. A lost answer is the same as a broken stream: after a body was sent
 // nothing tells the two apart.
-func Decide(s Situation) Verdict {
-	v := Verdict{Certainty: OutcomeUnknown, Suspect: s.EngineDead && s.Sent}
+func DecideRetry(s AttemptOutcome) RetryDecision {
+	v := RetryDecision{FailureCode: OutcomeUnknown, Suspect: s.EngineDead && s.Sent}
 	if s.Refused || !s.Sent {
-		v.Certainty = NotRun
+		v.FailureCode = NotRun
 	}
 	if s.Deadline || s.Rejected {
 		return v
@@ -60,24 +60,24 @@
 	switch {
 	case s.Refused && s.FirstByte:
 		// A resume was refused: the earlier attempt did run.
-		v.Certainty = OutcomeUnknown
+		v.FailureCode = OutcomeUnknown
 		v.Action = Resume
-	case v.Certainty == NotRun:
-		v.Action = Another
+	case v.FailureCode == NotRun:
+		v.Action = Retry
 	case !s.Idempotent:
 		v.Action = Fail
 	case s.FirstByte:
 		v.Action = Resume
 	default:
-		v.Action = Another
+		v.Action = Retry
 	}
 	return v
 }
 
-// Budget bounds retries of one workspace to a share of its requests, so that an
+// RetryBudget bounds retries of one workspace to a share of its requests, so that an
 // outage isn't multiplied: when every attempt fails, load grows by that share
 // and no more. Each request earns a part of a retry; each retry spends one.
-type Budget struct {
+type RetryBudget struct {
 	mu    sync.Mutex // guards tokens
 	share float64
 	cap   float64
@@ -85,31 +85,31 @@
 	floor *rate.Limiter
 }
 
-// BudgetOptions sets a Budget.
-type BudgetOptions struct {
-	Share     float64 // retries a request earns, 0 to 1
-	Burst     float64 // most that may be saved up
-	PerSecond float64 // retries allowed in any case, so that a quiet workspace has some
+// RetryBudgetOptions configures a RetryBudget.
+type RetryBudgetOptions struct {
+	Ratio        float64 // retries a request earns, 0 to 1
+	Burst        float64 // most that may be saved up
+	MinPerSecond float64 // retries allowed in any case, so that a quiet workspace has some
 }
 
-// DefaultBudget lets retries add a fifth to the load.
-var DefaultBudget = BudgetOptions{Share: 0.2, Burst: 20, PerSecond: 1}
+// DefaultRetryBudget lets retries add a fifth to the load.
+var DefaultRetryBudget = RetryBudgetOptions{Ratio: 0.2, Burst: 20, MinPerSecond: 1}
 
-// NewBudget returns a full Budget.
-func NewBudget(o BudgetOptions) *Budget {
-	floor := rate.NewLimiter(rate.Limit(o.PerSecond), max(1, int(o.PerSecond)))
-	return &Budget{share: o.Share, cap: o.Burst, have: o.Burst, floor: floor}
+// NewRetryBudget returns a full RetryBudget.
+func NewRetryBudget(o RetryBudgetOptions) *RetryBudget {
+	floor := rate.NewLimiter(rate.Limit(o.MinPerSecond), max(1, int(o.MinPerSecond)))
+	return &RetryBudget{share: o.Ratio, cap: o.Burst, have: o.Burst, floor: floor}
 }
 
-// Earn credits one request.
-func (b *Budget) Earn() {
+// RecordRequest credits one request.
+func (b *RetryBudget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.have = min(b.cap, b.have+b.share)
 }
 
-// Spend takes one retry and reports whether there was one.
-func (b *Budget) Spend(now time.Time) bool {
+// TryWithdraw takes one retry and reports whether there was one.
+func (b *RetryBudget) TryWithdraw(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.have >= 1 {
--- a/routetable/holder.go
+++ b/routetable/holder.go
@@ -39,8 +39,8 @@
 	return newer
 }
 
-// Prove notes that a call begun at asked showed the held table to be current.
-func (h *Holder) Prove(asked boottime.Instant) {
+// MarkCurrent notes that a call begun at asked showed the held table to be current.
+func (h *Holder) MarkCurrent(asked boottime.Instant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.table != nil {
--- a/routetable/table.go
+++ b/routetable/table.go
@@ -82,14 +82,14 @@
 
 // Workspace is who a request is accounted to.
 type Workspace struct {
-	Name     string
-	Priority int  // goes before the route's
-	Ranked   bool // Priority is given
-	Regions  Regions
+	Name        string
+	Priority    int  // goes before the route's
+	HasPriority bool // Priority is given
+	Regions     Regions
 }
 
-// Declared is the decoded content of one revision.
-type Declared struct {
+// Config is the decoded content of one revision.
+type Config struct {
 	Revision   uint64 // rises with each version of the operators
 	Routes     []Route
 	Services   []Service
@@ -110,7 +110,7 @@
 }
 
 // New builds the Table of a revision.
-func New(d Declared) *Table {
+func New(d Config) *Table {
 	t := &Table{
 		revision:   d.Revision,
 		byHost:     map[string][]*Route{},
--- a/routetable/table_test.go
+++ b/routetable/table_test.go
@@ -8,7 +8,7 @@
 )
 
 func sample(revision uint64) *Table {
-	return New(Declared{
+	return New(Config{
 		Revision: revision,
 		Routes: []Route{
 			{Name: "all", Host: "A.example", Prefix: "/"},
@@ -92,8 +92,8 @@
 	if _, age, _ := h.Table(); age != 10*time.Second {
 		t.Errorf("age %v, want 10s", age)
 	}
-	h.Prove(c.now)
-	h.Prove(asked)
+	h.MarkCurrent(c.now)
+	h.MarkCurrent(asked)
 	c.now = c.now.Add(time.Second)
 	if _, age, _ := h.Table(); age != time.Second {
 		t.Errorf("age %v, want 1s", age)
--- a/upstream/directory.go
+++ b/upstream/directory.go
@@ -9,14 +9,14 @@
 
 // Server is one backend server as its registration shows it.
 type Server struct {
-	Instance string // names the server; one that starts again may keep it
-	Born     int64  // tells its lives apart: when it started, Unix ms; 0: not known
-	Service  string
-	Address  string // IP:PORT
-	Zone     string
-	Region   string // of the zone; empty: not known
-	Capacity int    // requests that it runs at a time
-	Draining bool   // takes no new work
+	Instance      string // names the server; one that starts again may keep it
+	StartedUnixMs int64  // tells its lives apart: when it started, Unix ms; 0: not known
+	Service       string
+	Address       string // IP:PORT
+	Zone          string
+	Region        string // of the zone; empty: not known
+	Capacity      int    // requests that it runs at a time
+	Draining      bool   // takes no new work
 	// ColdUntil is when a freshly started server runs at its full speed.
 	ColdUntil time.Time
 	Revision  uint64 // of its registration; rises with each change
@@ -47,9 +47,9 @@
 	return &Directory{grace: grace, servers: map[string]Server{}, absent: map[string]time.Time{}}
 }
 
-// Lost notes that the store is out of reach: from now on a missing registration
+// MarkStoreUnavailable notes that the store is out of reach: from now on a missing registration
 // may have lapsed though its server lives.
-func (d *Directory) Lost() {
+func (d *Directory) MarkStoreUnavailable() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.outage = true
@@ -80,13 +80,13 @@
 	d.putLocked(s)
 }
 
-// Restarted reports whether a registration is of a later life of a server than the
+// IsRestart reports whether a registration is of a later life of a server than the
 // one held: it knows nothing of what was sent to it before.
-func (d *Directory) Restarted(s Server) bool {
+func (d *Directory) IsRestart(s Server) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	held, ok := d.servers[s.Instance]
-	return ok && s.Born > held.Born && held.Born != 0
+	return ok && s.StartedUnixMs > held.StartedUnixMs && held.StartedUnixMs != 0
 }
 
 // Remove takes the end of a registration.
@@ -96,8 +96,8 @@
 	d.removeLocked(instance, now)
 }
 
-// Confirm notes that the store answered.
-func (d *Directory) Confirm(now time.Time) {
+// MarkStoreAvailable notes that the store answered.
+func (d *Directory) MarkStoreAvailable(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.returnLocked(now)
@@ -148,15 +148,15 @@
 	}
 }
 
-// Prove notes that a call begun at asked showed the content to be current.
-func (d *Directory) Prove(asked boottime.Instant) {
+// MarkCurrent notes that a call begun at asked showed the content to be current.
+func (d *Directory) MarkCurrent(asked boottime.Instant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.proved = max(d.proved, asked)
 }
 
-// Proved returns when the content was last proved current.
-func (d *Directory) Proved() boottime.Instant {
+// CurrentAsOf returns when the content was last proved current.
+func (d *Directory) CurrentAsOf() boottime.Instant {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.proved
@@ -169,11 +169,11 @@
 	return d.version
 }
 
-// Of returns the servers of a service that take new work, in no order. A server
+// AvailableServers returns the servers of a service that take new work, in no order. A server
 // whose time to come back has passed is gone from then on, whether or not the store
 // answers at that moment: waiting for its next word would send new work to a server
 // that left long ago.
-func (d *Directory) Of(service string, now time.Time) []Server {
+func (d *Directory) AvailableServers(service string, now time.Time) []Server {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.sweepLocked(now)
--- a/upstream/directory_test.go
+++ b/upstream/directory_test.go
@@ -20,7 +20,7 @@
 func wantServers(t *testing.T, d *Directory, after time.Duration, want ...string) {
 	t.Helper()
 	var got []string
-	for _, s := range d.Of(svc, begin.Add(after)) {
+	for _, s := range d.AvailableServers(svc, begin.Add(after)) {
 		got = append(got, s.Instance)
 	}
 	slices.Sort(got)
@@ -48,7 +48,7 @@
 func TestServersOutliveALapseInAnOutage(t *testing.T) {
 	d := NewDirectory(grace)
 	d.Replace([]Server{server("a"), server("b")}, begin)
-	d.Lost()
+	d.MarkStoreUnavailable()
 	back := begin.Add(10 * time.Second)
 	d.Replace(nil, back)
 	wantServers(t, d, 11*time.Second, "a", "b")
@@ -64,10 +64,10 @@
 func TestGraceEndsWithoutTheStore(t *testing.T) {
 	d := NewDirectory(grace)
 	d.Replace([]Server{server("a"), server("b")}, begin)
-	d.Lost()
-	d.Confirm(begin.Add(time.Second))
+	d.MarkStoreUnavailable()
+	d.MarkStoreAvailable(begin.Add(time.Second))
 	d.Remove("b", begin.Add(2*time.Second))
-	d.Lost()
+	d.MarkStoreUnavailable()
 	wantServers(t, d, 2900*time.Millisecond, "a", "b")
 	wantServers(t, d, 3100*time.Millisecond, "a")
 }
@@ -85,16 +85,16 @@
 func TestRestartsAreToldByTheStart(t *testing.T) {
 	d := NewDirectory(grace)
 	first, second := server("a"), server("a")
-	first.Born, second.Born = 1000, 2000
-	if d.Restarted(first) {
+	first.StartedUnixMs, second.StartedUnixMs = 1000, 2000
+	if d.IsRestart(first) {
 		t.Error("a server that nobody knew has restarted")
 	}
 	d.Put(first)
-	if d.Restarted(first) || !d.Restarted(second) {
-		t.Errorf("the same start: %v, a later one: %v; want false and true", d.Restarted(first), d.Restarted(second))
+	if d.IsRestart(first) || !d.IsRestart(second) {
+		t.Errorf("the same start: %v, a later one: %v; want false and true", d.IsRestart(first), d.IsRestart(second))
 	}
 	d.Put(second)
-	if d.Restarted(first) {
+	if d.IsRestart(first) {
 		t.Error("an earlier start counts as a restart")
 	}
 }
--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -38,8 +38,8 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Mine reports whether an answer with this head is to this request.
-	Mine func(status int, header http.Header) bool
+	// MatchesResponse reports whether an answer with this head is to this request.
+	MatchesResponse func(status int, header http.Header) bool
 }
 
 // Response is the head of an answer and its body to be read. Close it.
@@ -47,8 +47,8 @@
 	Status int
 	Header http.Header
 	Body   io.Reader
-	// Length of the body; -1 if the head does not give it.
-	Length int64
+	// ContentLength of the body; -1 if the head does not give it.
+	ContentLength int64
 
 	exchange *exchange
 }
@@ -91,7 +91,7 @@
 		if err != nil {
 			return nil, errors.WithType(err, ErrBroken)
 		}
-		if r.Mine(raw.StatusCode, raw.Header) {
+		if r.MatchesResponse(raw.StatusCode, raw.Header) {
 			x.raw = raw
 			return x.response(raw), nil
 		}
@@ -172,11 +172,11 @@
 
 func (x *exchange) response(raw *http.Response) *Response {
 	return &Response{
-		Status:   raw.StatusCode,
-		Header:   raw.Header,
-		Body:     &body{exchange: x, from: raw.Body},
-		Length:   raw.ContentLength,
-		exchange: x,
+		Status:        raw.StatusCode,
+		Header:        raw.Header,
+		Body:          &body{exchange: x, from: raw.Body},
+		ContentLength: raw.ContentLength,
+		exchange:      x,
 	}
 }
 
--- a/upstream/exchange_test.go
+++ b/upstream/exchange_test.go
@@ -20,7 +20,7 @@
 func any200(int, http.Header) bool { return true }
 
 func get() *Request {
-	return &Request{Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}, Mine: any200}
+	return &Request{Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}, MatchesResponse: any200}
 }
 
 // do sends a request, reads the answer whole and returns it.
@@ -135,7 +135,7 @@
 		<-time.After(50 * time.Millisecond) // it reads none of the body meanwhile
 	})
 	long := &Request{
-		Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, Mine: any200,
+		Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, MatchesResponse: any200,
 		Body: []byte(strings.Repeat("x", 32<<20)), // more than the sockets buffer
 	}
 	for range 2 {
@@ -219,7 +219,7 @@
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	})
 	r := &Request{
-		Method: http.MethodPost, Target: "/a%2Fb?c", Host: "h:1", Body: []byte("ab"), Mine: any200,
+		Method: http.MethodPost, Target: "/a%2Fb?c", Host: "h:1", Body: []byte("ab"), MatchesResponse: any200,
 		Header: http.Header{"X-A": {"1"}, "Transfer-Encoding": {"chunked"}, "Content-Length": {"9"}},
 	}
 	if _, err := do(t, NewPool(metrics.NewRegistry()), address, r); err != nil {
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -71,9 +71,9 @@
 	return newConn(c), nil
 }
 
-// Accepts reports whether a server takes a new connection, which is kept for the
+// Probe reports whether a server takes a new connection, which is kept for the
 // next request.
-func (p *Pool) Accepts(ctx context.Context, address string) bool {
+func (p *Pool) Probe(ctx context.Context, address string) bool {
 	c, err := p.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return false
--- a/workspace/item.go
+++ b/workspace/item.go
@@ -9,13 +9,13 @@
 
 // Item is a request that asks to be dispatched.
 type Item struct {
-	Workspace string
-	Pool      string
-	Class     request.Class
-	Cost      int64         // tokens, prompt and expected output
-	Prefill   int64         // the prompt's part of Cost
-	Expected  time.Duration // from dispatch to the end, as estimated
-	Deadline  time.Time     // zero: none
+	Workspace        string
+	Pool             string
+	Class            request.Class
+	Cost             int64         // tokens, prompt and expected output
+	PrefillTokens    int64         // the prompt's part of Cost
+	ExpectedDuration time.Duration // from dispatch to the end, as estimated
+	Deadline         time.Time     // zero: none
 	// Priority orders a workspace's requests that wait: each step lets those go
 	// first that come up to priorityStep later. Lower is sooner.
 	Priority int32
@@ -55,7 +55,7 @@
 
 func newWaiter(it Item, number uint64, now time.Time) *waiter {
 	w := &waiter{Item: it, number: number, done: make(chan struct{})}
-	w.order = now.Add(agingFactor*it.Expected + time.Duration(it.Priority)*priorityStep)
+	w.order = now.Add(agingFactor*it.ExpectedDuration + time.Duration(it.Priority)*priorityStep)
 	if start := w.latestStart(); !start.IsZero() && start.Before(w.order) {
 		w.order = start
 	}
@@ -68,7 +68,7 @@
 	if w.Deadline.IsZero() {
 		return time.Time{}
 	}
-	return w.Deadline.Add(-w.Expected)
+	return w.Deadline.Add(-w.ExpectedDuration)
 }
 
 // before says whether w starts before v if both wait in one flow.
--- a/workspace/queue.go
+++ b/workspace/queue.go
@@ -12,10 +12,10 @@
 	// if it takes more than the rest: the window bounds what is sent, the agent
 	// decides what fits, and no request is too large ever to start.
 	Tokens int64
-	// Prefill is the prompt tokens that may wait for their first output token
+	// PrefillTokens is the prompt tokens that may wait for their first output token
 	// at a time, by the same rule; zero means no bound. It keeps the queue here,
 	// where order and fairness are decided, and not at the engines.
-	Prefill int64
+	PrefillTokens int64
 }
 
 // queue is what waits for and runs on one pool, of one length class.
@@ -48,7 +48,7 @@
 
 // hasRoom says whether another request may start.
 func (q *queue) hasRoom() bool {
-	return q.running < q.capacity.Slots && below(q.tokens, q.capacity.Tokens) && below(q.prefill, q.capacity.Prefill)
+	return q.running < q.capacity.Slots && below(q.tokens, q.capacity.Tokens) && below(q.prefill, q.capacity.PrefillTokens)
 }
 
 // below reports whether less than a limit is in use; 0 is no limit.
@@ -119,8 +119,8 @@
 	f.charge(w.Cost)
 	q.running++
 	q.tokens += w.Cost
-	q.prefill += w.Prefill
-	w.ends = now.Add(w.Expected)
+	q.prefill += w.PrefillTokens
+	w.ends = now.Add(w.ExpectedDuration)
 	q.ends += w.ends.Sub(q.began)
 	f.ws.running++
 	return w
@@ -148,8 +148,8 @@
 
 // prefilled notes that a request has its first output token, or ended.
 func (q *queue) prefilled(w *waiter) {
-	q.prefill -= w.Prefill
-	w.Prefill = 0
+	q.prefill -= w.PrefillTokens
+	w.PrefillTokens = 0
 }
 
 // settleIfIdle ends a busy period: nobody waits for what others used in it, so
@@ -179,7 +179,7 @@
 	ahead := q.remaining(now)
 	for _, other := range f.waiting {
 		if other.before(w) {
-			ahead += other.Expected
+			ahead += other.ExpectedDuration
 		}
 	}
 	slots := float64(max(1, q.parallel())) * q.shareOf(f)
--- a/workspace/scheduler_test.go
+++ b/workspace/scheduler_test.go
@@ -25,13 +25,13 @@
 	if f != nil {
 		return wait, f
 	}
-	time.Sleep(it.Expected)
+	time.Sleep(it.ExpectedDuration)
 	ticket.Release(it.Cost)
 	return wait, nil
 }
 
 func item(ws string, cost int64, expected time.Duration) Item {
-	return Item{Workspace: ws, Pool: "p", Cost: cost, Expected: expected}
+	return Item{Workspace: ws, Pool: "p", Cost: cost, ExpectedDuration: expected}
 }
 
 // quietWait returns the mean wait of a quiet workspace's requests while others
@@ -106,7 +106,7 @@
 		long := item("w", 1000, 10*time.Second)
 		wg.Go(func() {
 			wait, f := run(s, long)
-			if bound := (agingFactor + 2) * long.Expected; f != nil || wait > bound {
+			if bound := (agingFactor + 2) * long.ExpectedDuration; f != nil || wait > bound {
 				t.Errorf("waited %v (failure %v), want at most %v", wait, f, bound)
 			}
 			s.Close()
--- a/workspace/ticket.go
+++ b/workspace/ticket.go
@@ -40,9 +40,9 @@
 	s.dispatch(q)
 }
 
-// Prefilled tells that the request has its first output token, so that the next
+// PrefillDone tells that the request has its first output token, so that the next
 // may begin its prefill. Calls after the first, or after Release, do nothing.
-func (t Ticket) Prefilled() {
+func (t Ticket) PrefillDone() {
 	g := t.grant
 	if g == nil {
 		return
@@ -50,7 +50,7 @@
 	g.s.mu.Lock()
 	defer g.s.mu.Unlock()
 	q := g.w.flow.queue
-	if g.released || g.w.Prefill == 0 {
+	if g.released || g.w.PrefillTokens == 0 {
 		return
 	}
 	q.prefilled(g.w)
--- a/workspace/window_test.go
+++ b/workspace/window_test.go
@@ -38,7 +38,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 500
 		s := NewScheduler(Options{})
-		s.SetCapacity("p", request.ClassShort, Capacity{Slots: 100, Prefill: limit})
+		s.SetCapacity("p", request.ClassShort, Capacity{Slots: 100, PrefillTokens: limit})
 		q := s.queues[lane{pool: "p"}]
 		var running []Ticket
 		var all []*waiter
@@ -46,17 +46,17 @@
 			switch rapid.IntRange(0, 2).Draw(t, "event") {
 			case 0:
 				it := item("a", 400, time.Second)
-				it.Prefill = rapid.Int64Range(1, 300).Draw(t, "prefill")
+				it.PrefillTokens = rapid.Int64Range(1, 300).Draw(t, "prefill")
 				w, _ := s.enqueue(it)
 				all = append(all, w)
 			case 1:
 				for _, ticket := range running {
-					ticket.Prefilled()
+					ticket.PrefillDone()
 				}
 			case 2:
 				if len(running) > 0 {
 					running[0].Release(400)
-					running[0].Prefilled() // late: the request has ended
+					running[0].PrefillDone() // late: the request has ended
 					running = running[1:]
 				}
 			}
@@ -68,7 +68,7 @@
 			all = stillWaiting(all)
 			var sum int64
 			for _, ticket := range running {
-				sum += ticket.grant.w.Prefill
+				sum += ticket.grant.w.PrefillTokens
 			}
 			if q.prefill != sum || sum >= limit+300 {
 				t.Fatalf("prefill %d counted, %d in progress, limit %d", q.prefill, sum, limit)
