--- a/eligible/cold.go
+++ b/eligible/cold.go
@@ -8,9 +8,9 @@
 	"github.com/briarturn/briarturn/warmup"
 )
 
-// Warm admits servers that are warm, and cold ones as long as this entry may send them
+// ColdLimit admits servers that are warm, and cold ones as long as this entry may send them
 // more.
-type Warm struct {
+type ColdLimit struct {
 	Limiter   *warmup.Limiter
 	PerSecond float64 // that a cold server bears; 0: not declared, all are admitted
 	Zones     evacuation.View
@@ -18,14 +18,14 @@
 }
 
 // Cause implements Stage.
-func (Warm) Cause() Cause { return AllCold }
+func (ColdLimit) Cause() Cause { return ColdLimitReached }
 
 // Admits implements Stage.
-func (w Warm) Admits(s upstream.Server) bool {
-	return w.PerSecond <= 0 || !w.Cold(s) || w.Limiter.Allows(s.Instance, w.PerSecond, w.Now)
+func (w ColdLimit) Admits(s upstream.Server) bool {
+	return w.PerSecond <= 0 || !w.IsCold(s) || w.Limiter.CanSend(s.Instance, w.PerSecond, w.Now)
 }
 
-// Cold reports whether a server is cold, or may have become so without its word.
-func (w Warm) Cold(s upstream.Server) bool {
-	return w.Now.Before(s.ColdUntil) || w.Zones.Restored(s.Zone)
+// IsCold reports whether a server is cold, or may have become so without its word.
+func (w ColdLimit) IsCold(s upstream.Server) bool {
+	return w.Now.Before(s.ColdUntil) || w.Zones.RecentlyRestored(s.Zone)
 }
--- a/eligible/stage_test.go
+++ b/eligible/stage_test.go
@@ -39,7 +39,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			servers := []upstream.Server{{Instance: "n", Region: "north"}, {Instance: "s", Region: "south"}, {Instance: "w", Region: "west"}, {Instance: "unknown"}}
-			left, cause := Narrow(servers, InRegions{Route: c.route, Workspace: c.workspace})
+			left, cause := Filter(servers, InRegions{Route: c.route, Workspace: c.workspace})
 			if diff := cmp.Diff(c.want, instances(left)); diff != "" || cause != c.cause {
 				t.Errorf("cause %v, servers %s", cause, diff)
 			}
@@ -55,20 +55,20 @@
 	zones.Replace([]string{"a"}, clock())
 	limiter := warmup.NewLimiter("e", now.Add(-time.Hour))
 	limiter.SetEntries(nil, now)
-	stages := func() []Stage {
+	stages := func() []Condition {
 		view := zones.View(clock().Add(time.Second))
-		return []Stage{
-			InRegions{Route: routetable.Regions{"north"}}, InUse{Zones: view},
-			Warm{Limiter: limiter, PerSecond: 1, Zones: view, Now: now},
+		return []Condition{
+			InRegions{Route: routetable.Regions{"north"}}, NotEvacuated{Zones: view},
+			ColdLimit{Limiter: limiter, PerSecond: 1, Zones: view, Now: now},
 		}
 	}
 	evacuated := upstream.Server{Instance: "evacuated", Region: "north", Zone: "a"}
 	cold := upstream.Server{Instance: "cold", Region: "north", Zone: "b", ColdUntil: now.Add(time.Second)}
 	abroad := upstream.Server{Instance: "abroad", Region: "south", Zone: "c"}
-	if left, cause := Narrow([]upstream.Server{evacuated, cold, abroad}, stages()...); cause != None || len(left) != 1 || left[0].Instance != "cold" {
+	if left, cause := Filter([]upstream.Server{evacuated, cold, abroad}, stages()...); cause != None || len(left) != 1 || left[0].Instance != "cold" {
 		t.Errorf("cause %v, servers %v", cause, instances(left))
 	}
-	limiter.Take("cold", 1, now)
+	limiter.TryAcquire("cold", 1, now)
 	for _, c := range []struct {
 		servers []upstream.Server
 		want    Cause
@@ -76,9 +76,9 @@
 		{servers: nil, want: None},
 		{servers: []upstream.Server{abroad}, want: OutOfRegion},
 		{servers: []upstream.Server{abroad, evacuated}, want: ZoneEvacuated},
-		{servers: []upstream.Server{cold, evacuated}, want: AllCold},
+		{servers: []upstream.Server{cold, evacuated}, want: ColdLimitReached},
 	} {
-		if left, cause := Narrow(c.servers, stages()...); cause != c.want || len(left) != 0 {
+		if left, cause := Filter(c.servers, stages()...); cause != c.want || len(left) != 0 {
 			t.Errorf("%v: cause %v, want %v; left %v", instances(c.servers), cause, c.want, instances(left))
 		}
 	}
@@ -92,10 +92,10 @@
 	zones.Replace([]string{"a"}, clock)
 	zones.End("a")
 	s := upstream.Server{Instance: "x", Zone: "a"}
-	if !(Warm{Zones: zones.View(clock - 1), Now: now}).Cold(s) {
+	if !(ColdLimit{Zones: zones.View(clock - 1), Now: now}).IsCold(s) {
 		t.Error("taken for warm")
 	}
-	if (Warm{Zones: zones.View(clock + 1), Now: now}).Cold(s) {
+	if (ColdLimit{Zones: zones.View(clock + 1), Now: now}).IsCold(s) {
 		t.Error("stays cold though its registration was read since")
 	}
 }
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -174,13 +174,13 @@
 	}
 	best, ok := c.choose(now)
 	left := c.spec.Deadline.Sub(now)
-	if !ok || best.Expected <= left {
-		c.expected = best.Expected
+	if !ok || best.ExpectedTTFT <= left {
+		c.expected = best.ExpectedTTFT
 		return nil
 	}
 	return notRun(http.StatusServiceUnavailable, reasonDeadline, "admission",
-		"the time limit can't be met: the first token is expected in "+best.Expected.Round(time.Millisecond).String(),
-		max(best.Expected-left, retrySoon))
+		"the time limit can't be met: the first token is expected in "+best.ExpectedTTFT.Round(time.Millisecond).String(),
+		max(best.ExpectedTTFT-left, retrySoon))
 }
 
 // judge asks the quarantine whether and how the request may run.
@@ -189,7 +189,7 @@
 		return nil // a plain service has no prompt to blame
 	}
 	verdict := c.e.cfg.Quarantine.Verdict(c.spec.Fingerprint, now)
-	c.alone = verdict == quarantine.Alone
+	c.alone = verdict == quarantine.RunAlone
 	if verdict != quarantine.Refuse {
 		return nil
 	}
@@ -253,10 +253,10 @@
 // chosen server shall take the request, 0 for any. After some refusals any will
 // do: all servers may be busier than this entry knows.
 func (c *call) maxWait(to routing.Choice) uint64 {
-	if c.body == nil || to.Wait == 0 || c.refusals >= waitRefusals || c.spec.Class() >= request.ClassLarge {
+	if c.body == nil || to.QueueWait == 0 || c.refusals >= waitRefusals || c.spec.Class() >= request.ClassLarge {
 		return 0
 	}
-	return uint64((to.Wait + waitSlack).Milliseconds())
+	return uint64((to.QueueWait + waitSlack).Milliseconds())
 }
 
 // reach steps to a state unless the request is there, or answering, already.
--- a/entry/dispatch_test.go
+++ b/entry/dispatch_test.go
@@ -408,10 +408,10 @@
 		b := newBench(t, fleet(&fakeAgent{script: died}), Limits{})
 		chat(b, chatBodyText)
 		body, _ := parseBody(request.KindChat, []byte(chatBodyText))
-		if _, news := b.book.Died(body.fingerprint(), 7, time.Now()); news {
+		if _, news := b.book.RecordDeath(body.fingerprint(), 7, time.Now()); news {
 			t.Error("the agent's report of the same death was news")
 		}
-		if v := b.book.Verdict(body.fingerprint(), time.Now()); v != quarantine.Alone {
+		if v := b.book.Verdict(body.fingerprint(), time.Now()); v != quarantine.RunAlone {
 			t.Fatalf("verdict %v after one death", v)
 		}
 	})
@@ -421,9 +421,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(t, fleet(&fakeAgent{script: answers(1)}), Limits{})
 		body, _ := parseBody(request.KindChat, []byte(chatBodyText))
-		b.book.Died(body.fingerprint(), 1, time.Now())
+		b.book.RecordDeath(body.fingerprint(), 1, time.Now())
 		chat(b, chatBodyText)
-		if v := b.book.Verdict(body.fingerprint(), time.Now()); v != quarantine.Clear {
+		if v := b.book.Verdict(body.fingerprint(), time.Now()); v != quarantine.Allow {
 			t.Fatalf("verdict %v", v)
 		}
 	})
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -120,18 +120,18 @@
 }
 
 // Quarantine is what all entries know of fingerprints that were running when
-// engines died. *quarantine.Book implements it.
+// engines died. *quarantine.Tracker implements it.
 type Quarantine interface {
 	Verdict(fingerprint uint64, now time.Time) quarantine.Verdict
-	// Died reports that the fingerprint ran when an engine died; death names
+	// RecordDeath reports that the fingerprint ran when an engine died; death names
 	// that death, which counts once however often it is reported.
-	Died(fingerprint, death uint64, now time.Time) (quarantine.Record, bool)
-	// Survived reports that the fingerprint ran alone to its end.
-	Survived(fingerprint uint64, now time.Time)
+	RecordDeath(fingerprint, death uint64, now time.Time) (quarantine.Record, bool)
+	// RecordCompletion reports that the fingerprint ran alone to its end.
+	RecordCompletion(fingerprint uint64, now time.Time)
 }
 
 // Config holds what an Entry is built from. A nil Claimer refuses keyed
-// non-idempotent requests, a nil Quarantine is a Book of this entry alone, nil
+// non-idempotent requests, a nil Quarantine is a Tracker of this entry alone, nil
 // Costs and Prefixes learn nothing; the rest must be set, but for Limits.
 type Config struct {
 	Name        string
@@ -245,7 +245,7 @@
 	}
 	e := &Entry{cfg: cfg, limits: cfg.Limits.withDefaults(), log: cfg.Log.WithField("entry", cfg.Name)}
 	if e.cfg.Quarantine == nil {
-		e.cfg.Quarantine = quarantine.NewBook(quarantine.DefaultOptions)
+		e.cfg.Quarantine = quarantine.NewTracker(quarantine.DefaultOptions)
 	}
 	e.meters = newMeters(cfg.Metrics)
 	e.mux = e.routes()
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -75,10 +75,10 @@
 		return
 	}
 	if c.alone {
-		c.e.cfg.Quarantine.Survived(c.spec.Fingerprint, now)
+		c.e.cfg.Quarantine.RecordCompletion(c.spec.Fingerprint, now)
 	}
 	if c.e.cfg.Prefixes != nil {
-		c.e.cfg.Prefixes.Note(backend.KeyOf(res.peer), c.spec.Prefix)
+		c.e.cfg.Prefixes.RecordSent(backend.KeyOf(res.peer), c.spec.Prefix)
 	}
 	if c.e.cfg.Costs != nil && !c.first.IsZero() {
 		c.e.cfg.Costs.Record(c.pool, routing.Observation{
--- a/entry/group_size.go
+++ b/entry/group_size.go
@@ -88,7 +88,7 @@
 func (c *call) expectGroup(n int) {
 	share := c.spec.PromptTokens / int64(n)
 	if best := c.rank(time.Now(), share, 0, 1); len(best) > 0 {
-		c.expected = best[0].Expected
+		c.expected = best[0].ExpectedTTFT
 	}
 }
 
--- a/entry/harness_test.go
+++ b/entry/harness_test.go
@@ -329,7 +329,7 @@
 	for _, r := range rows {
 		if len(out) < most && !skip[r.Name] {
 			out = append(out, routing.Choice{Name: r.Name, RPCAddress: r.RPCAddress, EngineAddress: r.EngineAddress,
-				Expected: f.expected, FreeTokens: r.MemoryTokens})
+				ExpectedTTFT: f.expected, FreeTokens: r.MemoryTokens})
 		}
 	}
 	return out
@@ -378,13 +378,13 @@
 	fleet     *fakeFleet
 	scheduler *workspace.Scheduler
 	store     *standin.Memory
-	book      *quarantine.Book
+	book      *quarantine.Tracker
 }
 
 func newBench(t testing.TB, f *fakeFleet, limits Limits) *bench {
 	t.Helper()
 	log := quiet.Logger()
-	b := &bench{fleet: f, scheduler: workspace.NewScheduler(workspace.Options{}), book: quarantine.NewBook(quarantine.DefaultOptions),
+	b := &bench{fleet: f, scheduler: workspace.NewScheduler(workspace.Options{}), book: quarantine.NewTracker(quarantine.DefaultOptions),
 		store: standin.NewMemory(standin.Config{})}
 	claims, err := claim.New(claim.Config{Store: b.store, Entry: "en1", Metrics: metrics.NewRegistry()})
 	if err != nil {
--- a/entry/http_test.go
+++ b/entry/http_test.go
@@ -27,7 +27,7 @@
 	_ Rows       = (*backend.Table)(nil)
 	_ Scheduler  = (*workspace.Scheduler)(nil)
 	_ Dialer     = (*wire.Dialer)(nil)
-	_ Quarantine = (*quarantine.Book)(nil)
+	_ Quarantine = (*quarantine.Tracker)(nil)
 	_ Claimer    = (*claim.Claimer)(nil)
 )
 
--- a/entry/outcome.go
+++ b/entry/outcome.go
@@ -86,7 +86,7 @@
 		return
 	}
 	c.e.meters.count("entry.engine_deaths")
-	c.e.cfg.Quarantine.Died(c.spec.Fingerprint, res.end.GetDeath(), time.Now())
+	c.e.cfg.Quarantine.RecordDeath(c.spec.Fingerprint, res.end.GetDeath(), time.Now())
 }
 
 func (c *call) situation(res result) request.Situation {
--- a/entry/path_test.go
+++ b/entry/path_test.go
@@ -47,7 +47,7 @@
 	for i := range engines {
 		p.addEngine(t, fmt.Sprintf("e%d", i), cfg, table)
 	}
-	policy, err := routing.New(routing.NameCost, routing.Options{})
+	policy, err := routing.New(routing.PolicyCost, routing.Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 	openWindow(scheduler)
 	p.entry, err = New(Config{Name: "en1", Incarnation: 1, Rows: table, Policy: policy,
 		Scheduler: scheduler, Dialer: dialer, Catalog: fakeCatalog{},
-		Quarantine: quarantine.NewBook(quarantine.DefaultOptions), Metrics: metrics.NewRegistry(), Log: quiet.Logger()})
+		Quarantine: quarantine.NewTracker(quarantine.DefaultOptions), Metrics: metrics.NewRegistry(), Log: quiet.Logger()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/entry/wait_test.go
+++ b/entry/wait_test.go
@@ -13,7 +13,7 @@
 // Sequence: each server has more ahead than the entry expected, and refuses.
 // Cause: a bound on the wait at every attempt; after some it must be lifted.
 func TestBoundOnTheWaitIsLiftedAfterRefusals(t *testing.T) {
-	to := routing.Choice{Wait: 30 * time.Millisecond}
+	to := routing.Choice{QueueWait: 30 * time.Millisecond}
 	for _, c := range []struct {
 		refusals int
 		tokens   int64
--- a/evacuation/zones.go
+++ b/evacuation/zones.go
@@ -65,8 +65,8 @@
 	return true
 }
 
-// Prove notes that a call begun at asked showed what is known to be current.
-func (z *Zones) Prove(asked boottime.Instant) {
+// MarkCurrent notes that a call begun at asked showed what is known to be current.
+func (z *Zones) MarkCurrent(asked boottime.Instant) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.proveLocked(asked)
@@ -127,9 +127,9 @@
 // Evacuated reports whether a zone takes nothing new.
 func (v View) Evacuated(zone string) bool { return v.evacuated[zone] }
 
-// Restored reports whether a zone was restored a moment ago, so that the coldness of
+// RecentlyRestored reports whether a zone was restored a moment ago, so that the coldness of
 // its servers may not be known yet.
-func (v View) Restored(zone string) bool { return v.restored[zone] }
+func (v View) RecentlyRestored(zone string) bool { return v.restored[zone] }
 
 // Zones returns the evacuated zones in order of their names.
 func (v View) Zones() []string { return slices.Sorted(maps.Keys(v.evacuated)) }
--- a/evacuation/zones_test.go
+++ b/evacuation/zones_test.go
@@ -39,8 +39,8 @@
 	z.Begin("a")
 	z.End("a")
 	z.Begin("a")
-	if v := z.View(now.Add(time.Minute)); !v.Evacuated("a") || v.Restored("a") {
-		t.Errorf("evacuated %v, restored %v", v.Evacuated("a"), v.Restored("a"))
+	if v := z.View(now.Add(time.Minute)); !v.Evacuated("a") || v.RecentlyRestored("a") {
+		t.Errorf("evacuated %v, restored %v", v.Evacuated("a"), v.RecentlyRestored("a"))
 	}
 }
 
@@ -55,10 +55,10 @@
 	if diff := cmp.Diff([][]string{{"b"}, {"a"}}, [][]string{began, ended}); diff != "" {
 		t.Error(diff)
 	}
-	if v := z.View(listed); v.Evacuated("a") || !v.Restored("a") || !v.Evacuated("b") {
+	if v := z.View(listed); v.Evacuated("a") || !v.RecentlyRestored("a") || !v.Evacuated("b") {
 		t.Error("a zone restored counts as warm before its servers were read again")
 	}
-	if z.View(now.Add(time.Millisecond)).Restored("a") {
+	if z.View(now.Add(time.Millisecond)).RecentlyRestored("a") {
 		t.Error("a zone stays restored though its servers were read again")
 	}
 }
--- a/gateway/candidates.go
+++ b/gateway/candidates.go
@@ -20,11 +20,11 @@
 	now := time.Now()
 	warm := e.warm(now)
 	var servers []upstream.Server
-	servers, e.keptOut = eligible.Narrow(g.cfg.Directory.Of(e.service.Name, now),
-		e.inRegions(), eligible.InUse{Zones: warm.Zones}, warm)
+	servers, e.keptOut = eligible.Filter(g.cfg.Directory.Of(e.service.Name, now),
+		e.inRegions(), eligible.NotEvacuated{Zones: warm.Zones}, warm)
 	var candidates, had []placement.Candidate
 	for _, s := range servers {
-		c := placement.Candidate{Instance: s.Instance, Address: s.Address, Zone: s.Zone, Capacity: s.Capacity, Cold: warm.Cold(s)}
+		c := placement.Candidate{Instance: s.Instance, Address: s.Address, Zone: s.Zone, Capacity: s.Capacity, Cold: warm.IsCold(s)}
 		if e.tried[s.Instance] {
 			had = append(had, c)
 			continue
@@ -45,9 +45,9 @@
 	return in
 }
 
-func (e *exchange) warm(now time.Time) eligible.Warm {
+func (e *exchange) warm(now time.Time) eligible.ColdLimit {
 	g := e.gateway
-	return eligible.Warm{
+	return eligible.ColdLimit{
 		Limiter:   g.cfg.Warmup,
 		PerSecond: e.service.ColdPerSecond,
 		Zones:     g.cfg.Zones.View(g.cfg.Directory.Proved()),
@@ -68,7 +68,7 @@
 		return true
 	}
 	for _, c := range servers {
-		if c.Cold && !warm.Limiter.Take(c.Instance, warm.PerSecond, warm.Now) {
+		if c.Cold && !warm.Limiter.TryAcquire(c.Instance, warm.PerSecond, warm.Now) {
 			return false
 		}
 	}
@@ -82,7 +82,7 @@
 		return ReasonOutOfRegion
 	case eligible.ZoneEvacuated:
 		return ReasonZoneEvacuated
-	case eligible.AllCold:
+	case eligible.ColdLimitReached:
 		return ReasonCold
 	}
 	return ""
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -30,7 +30,7 @@
 	Placer    Placer
 	Budget    *RetryBudget
 	Reserver  *reservation.Reserver
-	Suspects  *quarantine.Book
+	Suspects  *quarantine.Tracker
 	Witness   Witness
 	Options   Options
 	Log       logrus.FieldLogger
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -127,7 +127,7 @@
 		Pool:      upstream.NewPool(r),
 		Placer:    inOrder{placement.NewPlanner(ledger, 1, time.Now, nil)},
 		Budget:    NewRetryBudget(0, 1000, time.Minute, 1),
-		Suspects:  quarantine.NewBook(QuarantineOptions()),
+		Suspects:  quarantine.NewTracker(QuarantineOptions()),
 		Witness:   w.witness,
 		Log:       quiet.Logger(),
 		Metrics:   r,
--- a/gateway/memory.go
+++ b/gateway/memory.go
@@ -27,7 +27,7 @@
 		switch {
 		case r != nil:
 			return r, true
-		case e.keptOut.Declared():
+		case e.keptOut.ByOperator():
 			return nil, false
 		case answer == placement.TooLate:
 			e.tooLate = place.Forecast
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -25,7 +25,7 @@
 // QuarantineOptions are those of the gateway's book.
 func QuarantineOptions() quarantine.Options {
 	o := quarantine.DefaultOptions
-	o.Deaths = suspectDeaths
+	o.DeathThreshold = suspectDeaths
 	return o
 }
 
@@ -57,7 +57,7 @@
 // after three servers had died of anything else.
 func (e *exchange) survived() {
 	if e.outcome == outcomeAnswered && e.status < http.StatusInternalServerError {
-		e.gateway.cfg.Suspects.Survived(e.mark, time.Now())
+		e.gateway.cfg.Suspects.RecordCompletion(e.mark, time.Now())
 	}
 }
 
@@ -69,12 +69,12 @@
 		return // it lives, or nobody can tell in time
 	}
 	death := placement.ServerKey(place.Server.Instance)
-	record, news := e.gateway.cfg.Suspects.Died(e.mark, death, time.Now())
+	record, news := e.gateway.cfg.Suspects.RecordDeath(e.mark, death, time.Now())
 	if !news {
 		return
 	}
 	e.gateway.tally.deaths.Inc(1)
 	e.gateway.cfg.Log.WithField("request", e.env.ID).WithField("server", place.Server.Address).
-		WithField("deaths", record.Deaths).Warn("server died under a request")
+		WithField("deaths", record.DeathCount).Warn("server died under a request")
 	e.gateway.cfg.Witness.Died(record)
 }
--- a/internal/capacity/compute.go
+++ b/internal/capacity/compute.go
@@ -186,7 +186,7 @@
 	workspaces := m.slope(lineWorkspace) * float64(m.Workspaces)
 	series := m.slope(lineSeries) * float64(m.Workspaces) * levelsPerWorkspace * targetsPerLevel
 	hints := m.slope(lineHint) * routing.DefaultHints
-	evidence := m.slope(lineEvidence) * min(suspects, float64(quarantine.DefaultOptions.Entries))
+	evidence := m.slope(lineEvidence) * min(suspects, float64(quarantine.DefaultOptions.MaxFingerprints))
 	hashes := claimKey * m.Requests * m.KeyedShare * claim.DefaultRetention.Seconds()
 	heap := idle + rows + objects + workspaces + series + hints + evidence + hashes
 	process, program := m.lines[lineProcess].Intercept, m.lines[lineProgram].Intercept
--- a/internal/capacity/measure_entry.go
+++ b/internal/capacity/measure_entry.go
@@ -321,7 +321,7 @@
 			for j := range prefix {
 				prefix[j] = rnd.Uint64()
 			}
-			x.Note(uint64(1+i%regionServers), prefix)
+			x.RecordSent(uint64(1+i%regionServers), prefix)
 		}
 		kept = x.Len()
 		return x
@@ -331,9 +331,9 @@
 
 func sampleEvidence(_ context.Context, n int) (float64, error) {
 	return retained(func() any {
-		b := quarantine.NewBook(quarantine.DefaultOptions)
+		b := quarantine.NewTracker(quarantine.DefaultOptions)
 		for i := range n {
-			b.Died(uint64(i), 7, began)
+			b.RecordDeath(uint64(i), 7, began)
 		}
 		return b
 	}), nil
--- a/internal/capacity/measure_gateway.go
+++ b/internal/capacity/measure_gateway.go
@@ -48,7 +48,7 @@
 		}
 		x, err := peering.Start(ctx, peering.Config{
 			Name: name, Listen: "127.0.0.1:0", Incarnation: uint64(i) + 1, Zone: "z", Region: "r", Store: store,
-			Ledger: l, Suspects: quarantine.NewBook(quarantine.DefaultOptions),
+			Ledger: l, Suspects: quarantine.NewTracker(quarantine.DefaultOptions),
 			Entries: func(names []string, _ bool) { known[i] <- len(names) }, Log: quiet.Logger(), Metrics: r,
 		})
 		if err != nil {
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -230,7 +230,7 @@
 	file := `{"kind":"ServiceLevel","name":"notices","spec":{"workspace":"w","class":"1k-4k","ttft":"1.7s","inter_token":"56ms","objective":0.99,
 		"windows":[{"long":"1h","short":"5m","rate":14.4},{"long":"6h","short":"30m","rate":6}]}}`
 	expect(t, runTool(store, file, "apply", "-f", "-"), ExitOK)
-	entry := serveEntry(t, &fakeEntry{name: "e1", bad: 10, objective: slo.ObjectiveOf("notices", slo.MeasureTTFT)})
+	entry := serveEntry(t, &fakeEntry{name: "e1", bad: 10, objective: slo.ObjectiveName("notices", slo.MeasureTTFT)})
 	// 10 bad of 100 burn 10 times what is allowed: under 14.4, over 6.
 	r := runTool(store, "", "--admin", entry, "report", "burn")
 	expect(t, r, ExitOK, "notices/ttft", "notices/inter_token", "10.00 (10/100)", "warning")
--- a/internal/ctl/exit.go
+++ b/internal/ctl/exit.go
@@ -31,7 +31,7 @@
 	switch {
 	case err == nil:
 		return ExitOK
-	case isAny(err, errUsage, ErrManifest, declared.ErrUnknownKind, load.ErrMix, load.ErrOptions, slo.ErrLevel, objectapi.ErrTooLarge):
+	case isAny(err, errUsage, ErrManifest, declared.ErrUnknownKind, load.ErrMix, load.ErrOptions, slo.ErrInvalidLevel, objectapi.ErrTooLarge):
 		return ExitUsage
 	case isAny(err, objectapi.ErrUnavailable, objectapi.ErrThrottled, objectapi.ErrOutcomeUnknown,
 		admin.ErrUnavailable, context.DeadlineExceeded, context.Canceled):
--- a/internal/ctl/levels.go
+++ b/internal/ctl/levels.go
@@ -63,14 +63,14 @@
 	}
 	class, _ := declared.LengthClass(sl.Class) // Decode has checked it
 	level := func(measure string) slo.Level {
-		objective := slo.ObjectiveOf(o.Name, measure)
+		objective := slo.ObjectiveName(o.Name, measure)
 		return slo.Level{
-			Name:      objective,
-			Workspace: sl.Workspace,
-			Classes:   []request.Class{class},
-			Objective: objective,
-			Target:    sl.Objective,
-			Pairs:     pairsOf(sl.Windows),
+			Name:       objective,
+			Workspace:  sl.Workspace,
+			Classes:    []request.Class{class},
+			Objective:  objective,
+			Target:     sl.Objective,
+			AlertRules: pairsOf(sl.Windows),
 		}
 	}
 	out := []slo.Level{level(slo.MeasureTTFT)}
@@ -81,14 +81,14 @@
 }
 
 // pairsOf makes the pair that takes the fastest burn the one that pages.
-func pairsOf(windows []declared.BurnWindow) []slo.Pair {
+func pairsOf(windows []declared.BurnWindow) []slo.AlertRule {
 	var fastest float64
 	for _, w := range windows {
 		fastest = max(fastest, w.Rate)
 	}
-	var out []slo.Pair
+	var out []slo.AlertRule
 	for _, w := range windows {
-		p := slo.Pair{Short: time.Duration(w.Short), Long: time.Duration(w.Long), Burn: w.Rate, State: slo.StateWarning}
+		p := slo.AlertRule{ShortWindow: time.Duration(w.Short), LongWindow: time.Duration(w.Long), BurnThreshold: w.Rate, State: slo.StateWarning}
 		if w.Rate == fastest {
 			p.State = slo.StatePage
 		}
--- a/internal/dev/experiment.go
+++ b/internal/dev/experiment.go
@@ -69,7 +69,7 @@
 // DefaultExperiment compares all policies on both users' mixes.
 func DefaultExperiment() Experiment {
 	return Experiment{
-		Policies: []string{routing.NameCost, routing.NameRoundRobin, routing.NameLeastLoad, PolicyDirect},
+		Policies: []string{routing.PolicyCost, routing.PolicyRoundRobin, routing.PolicyLeastLoad, PolicyDirect},
 		Mixes:    []string{"derwent", "atlas"},
 		Factors:  []float64{0.5, 0.8, 1.1},
 		For:      30 * time.Second,
--- a/internal/gatewaynode/node.go
+++ b/internal/gatewaynode/node.go
@@ -157,7 +157,7 @@
 		return nil, err
 	}
 	incarnation := rand.Uint64()
-	suspects := quarantine.NewBook(gateway.QuarantineOptions())
+	suspects := quarantine.NewTracker(gateway.QuarantineOptions())
 	budget := gateway.NewRetryBudget(cfg.RetryRatio, cfg.RetrySlack, cfg.RetryWindow, assumedEntries)
 	exchange, err := peering.Start(ctx, peering.Config{
 		Name:        cfg.Name,
@@ -250,7 +250,7 @@
 			known[s.Address], instances[s.Instance] = true, true
 		}
 		n.pool.Sweep(func(address string) bool { return known[address] })
-		n.warmup.Forget(func(instance string) bool { return instances[instance] })
+		n.warmup.Retain(func(instance string) bool { return instances[instance] })
 		n.ledger.Forget(func(server uint64) bool { return n.engines.knows(n.directory, server) })
 	}
 }
--- a/internal/gatewaynode/status.go
+++ b/internal/gatewaynode/status.go
@@ -40,7 +40,7 @@
 		switch {
 		case view.Evacuated(server.Zone):
 			state = stateEvacuated
-		case now.Before(server.ColdUntil) || view.Restored(server.Zone):
+		case now.Before(server.ColdUntil) || view.RecentlyRestored(server.Zone):
 			state = stateCold
 		}
 		s.Servers = append(s.Servers, statusOf(server, state))
--- a/internal/gatewaynode/zones.go
+++ b/internal/gatewaynode/zones.go
@@ -57,7 +57,7 @@
 			s.logZone(o.Name, "evacuated", o.Version)
 		}
 	}
-	s.zones.Prove(l.Asked)
+	s.zones.MarkCurrent(l.Asked)
 }
 
 func (s *sink) logZone(zone, state string, revision uint64) {
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -64,7 +64,7 @@
 	listener    net.Listener // of the drpc server, until that serves it
 	runner      *membership.AgentRunner
 	catalog     *declared.Catalog
-	book        *quarantine.Book
+	book        *quarantine.Tracker
 	admin       string
 	changed     chan struct{} // holds a token while the descriptor has news
 }
@@ -81,7 +81,7 @@
 		tasks:       newTasks(log),
 		dialer:      wire.NewDialer(wire.Options{Log: log, Metrics: cfg.Metrics}),
 		catalog:     declared.NewCatalog(declared.Config{}),
-		book:        quarantine.NewBook(quarantine.DefaultOptions),
+		book:        quarantine.NewTracker(quarantine.DefaultOptions),
 		changed:     make(chan struct{}, 1),
 	}
 	invariant.Export(cfg.Metrics)
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -64,10 +64,10 @@
 	runner      *membership.EntryRunner
 	catalog     *declared.Catalog
 	claimer     *claim.Claimer
-	book        *quarantine.Book
+	book        *quarantine.Tracker
 	slo         *slo.Tracker
 	floor       listedFloor
-	promises    atomic.Pointer[[]slo.Promise]
+	promises    atomic.Pointer[[]slo.LatencyTarget]
 	http        *graceful.Server // callers'
 	address     string
 	admin       string
@@ -103,7 +103,7 @@
 			Log:              log,
 		}),
 		started:  time.Now(),
-		book:     quarantine.NewBook(quarantine.DefaultOptions),
+		book:     quarantine.NewTracker(quarantine.DefaultOptions),
 		slo:      slo.NewTracker(slo.Config{}),
 		draining: make(chan struct{}),
 		self: &wirepb.Peer{
--- a/internal/node/entry_catalog.go
+++ b/internal/node/entry_catalog.go
@@ -52,7 +52,7 @@
 // namedPolicies returns the policies that a ModelPool may name.
 func namedPolicies(options routing.Options) (map[string]routing.Policy, error) {
 	out := map[string]routing.Policy{}
-	for _, name := range []string{routing.NameCost, routing.NameRoundRobin, routing.NameLeastLoad} {
+	for _, name := range []string{routing.PolicyCost, routing.PolicyRoundRobin, routing.PolicyLeastLoad} {
 		policy, err := routing.New(name, options)
 		if err != nil {
 			return nil, err
--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -21,20 +21,20 @@
 // death hears of it before the agent's own report; if it kept that to itself,
 // the report would be no news any more and nobody would pass it on.
 type sharedBook struct {
-	*quarantine.Book
+	*quarantine.Tracker
 	runner *membership.EntryRunner
 }
 
-// Died implements entry.Quarantine.
-func (b sharedBook) Died(fingerprint, death uint64, now time.Time) (quarantine.Record, bool) {
-	record, news := b.Book.Died(fingerprint, death, now)
+// RecordDeath implements entry.Quarantine.
+func (b sharedBook) RecordDeath(fingerprint, death uint64, now time.Time) (quarantine.Record, bool) {
+	record, news := b.Tracker.RecordDeath(fingerprint, death, now)
 	if news {
 		b.runner.AddEvidence([]*wirepb.Evidence{wire.EvidenceMessage(record)})
 	}
 	return record, news
 }
 
-func allEvidence(book *quarantine.Book, now time.Time) []*wirepb.Evidence {
+func allEvidence(book *quarantine.Tracker, now time.Time) []*wirepb.Evidence {
 	var out []*wirepb.Evidence
 	for _, r := range book.Records(now) {
 		out = append(out, wire.EvidenceMessage(r))
@@ -53,7 +53,7 @@
 	now := time.Now()
 	var list []*wirepb.Evidence
 	for _, s := range death.Running {
-		record, news := n.book.Died(s.Fingerprint, death.ID, now)
+		record, news := n.book.RecordDeath(s.Fingerprint, death.ID, now)
 		if news && record.Quarantined {
 			n.tasks.log.WithFields(logrus.Fields{"workspace": s.Workspace, "request": s.RequestID, "entry": s.Entry}).
 				Warn("prompt quarantined: engines died under it")
--- a/internal/node/levels.go
+++ b/internal/node/levels.go
@@ -8,14 +8,14 @@
 )
 
 // promisesOf returns the declared service levels as requests are judged by them.
-func promisesOf(state *declared.State) []slo.Promise {
-	var out []slo.Promise
+func promisesOf(state *declared.State) []slo.LatencyTarget {
+	var out []slo.LatencyTarget
 	for name, level := range state.ServiceLevels() {
 		class, ok := declared.LengthClass(level.Class)
 		if !ok {
 			continue
 		}
-		out = append(out, slo.Promise{
+		out = append(out, slo.LatencyTarget{
 			Name:       name,
 			Workspace:  level.Workspace,
 			Class:      class,
--- a/peering/exchange.go
+++ b/peering/exchange.go
@@ -51,7 +51,7 @@
 	LinkMbps    int // of the VM; 0: not known
 	Store       objectapi.Store
 	Ledger      *placement.Ledger
-	Suspects    *quarantine.Book
+	Suspects    *quarantine.Tracker
 	// Entries is told the names of all entries, this one included, and whether the object
 	// API has listed them once: before that only some are known.
 	Entries func(names []string, listed bool)
--- a/peering/exchange_test.go
+++ b/peering/exchange_test.go
@@ -20,7 +20,7 @@
 type entry struct {
 	exchange *Exchange
 	ledger   *placement.Ledger
-	suspects *quarantine.Book
+	suspects *quarantine.Tracker
 	stop     context.CancelFunc
 	entries  chan int
 }
@@ -35,7 +35,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	e := &entry{
 		ledger:   placement.NewLedger(func(uint64) *placement.Engine { return nil }),
-		suspects: quarantine.NewBook(quarantine.DefaultOptions),
+		suspects: quarantine.NewTracker(quarantine.DefaultOptions),
 		stop:     stop,
 		entries:  make(chan int, 64),
 	}
@@ -185,8 +185,8 @@
 	store := memory.NewMemory(memory.Config{})
 	a, b := startEntry(t, store, "a", 1), startEntry(t, store, "b", 2)
 	await(t, "both found each other", func() bool { return <-a.entries == 2 })
-	for death := range uint64(quarantine.DefaultOptions.Deaths) {
-		record, _ := a.suspects.Died(5, death+1, time.Now())
+	for death := range uint64(quarantine.DefaultOptions.DeathThreshold) {
+		record, _ := a.suspects.RecordDeath(5, death+1, time.Now())
 		a.exchange.Witness().Died(record)
 	}
 	await(t, "b refuses it", func() bool { return b.suspects.Verdict(5, time.Now()) == quarantine.Refuse })
--- a/quarantine/example_test.go
+++ b/quarantine/example_test.go
@@ -9,21 +9,21 @@
 
 // Two engines die, and one fingerprint ran on both. A second entry learns of it
 // by the records that the first passes on.
-func ExampleBook() {
+func ExampleTracker() {
 	now := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 	const killer, neighbour = 7, 8
-	here := quarantine.NewBook(quarantine.DefaultOptions)
-	there := quarantine.NewBook(quarantine.DefaultOptions)
+	here := quarantine.NewTracker(quarantine.DefaultOptions)
+	there := quarantine.NewTracker(quarantine.DefaultOptions)
 	for _, ran := range []struct{ fingerprint, death uint64 }{{killer, 1}, {neighbour, 1}, {killer, 2}} {
-		if record, news := here.Died(ran.fingerprint, ran.death, now); news {
-			there.Learn(record, now)
+		if record, news := here.RecordDeath(ran.fingerprint, ran.death, now); news {
+			there.Merge(record, now)
 		}
 	}
 	fmt.Println("refused:", there.Verdict(killer, now) == quarantine.Refuse)
-	fmt.Println("runs alone:", there.Verdict(neighbour, now) == quarantine.Alone)
+	fmt.Println("runs alone:", there.Verdict(neighbour, now) == quarantine.RunAlone)
 
-	there.Survived(neighbour, now)
-	fmt.Println("cleared:", there.Verdict(neighbour, now) == quarantine.Clear)
+	there.RecordCompletion(neighbour, now)
+	fmt.Println("cleared:", there.Verdict(neighbour, now) == quarantine.Allow)
 	// Output:
 	// refused: true
 	// runs alone: true
--- a/quarantine/book.go
+++ b/quarantine/tracker.go
@@ -21,25 +21,25 @@
 
 // Verdicts.
 const (
-	Clear  Verdict = iota // as any other
-	Alone                 // only on an engine that runs nothing else
-	Refuse                // not at all
+	Allow    Verdict = iota // as any other
+	RunAlone                // only on an engine that runs nothing else
+	Refuse                  // not at all
 )
 
-// Options bounds a Book.
+// Options bounds a Tracker.
 type Options struct {
-	Entries   int           // fingerprints kept
-	Suspicion time.Duration // how long one death is remembered
-	Sentence  time.Duration // how long a quarantine lasts
-	Deaths    int           // deaths that quarantine, 1 to 4
+	MaxFingerprints int           // fingerprints kept
+	SuspicionTTL    time.Duration // how long one death is remembered
+	QuarantineTTL   time.Duration // how long a quarantine lasts
+	DeathThreshold  int           // deaths that quarantine, 1 to 4
 }
 
 // DefaultOptions keeps some 10,000 fingerprints, 1 MB at most.
 var DefaultOptions = Options{
-	Entries:   10_000,
-	Suspicion: 10 * time.Minute,
-	Sentence:  time.Hour,
-	Deaths:    2,
+	MaxFingerprints: 10_000,
+	SuspicionTTL:    10 * time.Minute,
+	QuarantineTTL:   time.Hour,
+	DeathThreshold:  2,
 }
 
 // maxDeaths is how many distinct deaths are kept a fingerprint; more than
@@ -49,8 +49,8 @@
 // Record is what is known of one fingerprint, as it is passed between entries.
 type Record struct {
 	Fingerprint uint64
-	Death       uint64 // identifies one engine death: xxhash of server and boot
-	Deaths      int
+	DeathID     uint64 // identifies one engine death: xxhash of server and boot
+	DeathCount  int
 	Quarantined bool
 	TTL         time.Duration // what is left of the verdict; 0: not known
 }
@@ -61,29 +61,29 @@
 	expires time.Time
 }
 
-// Book is one process's knowledge of suspects. mu guards seen.
-type Book struct {
+// Tracker is one process's knowledge of suspects. mu guards seen.
+type Tracker struct {
 	mu   sync.Mutex
 	opt  Options
 	seen *simplelru.LRU[uint64, *entry]
 }
 
-// NewBook returns an empty Book.
-func NewBook(opt Options) *Book {
-	lru, err := simplelru.NewLRU[uint64, *entry](max(1, opt.Entries), nil)
+// NewTracker returns an empty Tracker.
+func NewTracker(opt Options) *Tracker {
+	lru, err := simplelru.NewLRU[uint64, *entry](max(1, opt.MaxFingerprints), nil)
 	if err != nil {
 		panic(err) // only for a size under one
 	}
 	// No more than maxDeaths are told apart: a greater number would never
 	// convict.
-	opt.Deaths = min(max(1, opt.Deaths), maxDeaths)
-	return &Book{opt: opt, seen: lru}
+	opt.DeathThreshold = min(max(1, opt.DeathThreshold), maxDeaths)
+	return &Tracker{opt: opt, seen: lru}
 }
 
-// Died records that the fingerprint was running when an engine died. death
+// RecordDeath records that the fingerprint was running when an engine died. death
 // identifies that death; one that was already known changes nothing. It returns
 // the record to pass on and whether it is news.
-func (b *Book) Died(fingerprint, death uint64, now time.Time) (Record, bool) {
+func (b *Tracker) RecordDeath(fingerprint, death uint64, now time.Time) (Record, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e, news := b.add(fingerprint, death, now)
@@ -93,19 +93,19 @@
 	return b.record(fingerprint, death, e, now), news
 }
 
-// Learn takes a record heard from another process and reports whether it is
+// Merge takes a record heard from another process and reports whether it is
 // news that should be passed on. A verdict that is heard late ends when it ends
 // at its giver: else processes that learn of it from each other as they are
 // replaced would keep a fingerprint refused for ever.
-func (b *Book) Learn(r Record, now time.Time) bool {
+func (b *Tracker) Merge(r Record, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e, news := b.add(r.Fingerprint, r.Death, now)
+	e, news := b.add(r.Fingerprint, r.DeathID, now)
 	if !news {
 		return false
 	}
 	left := b.lifetime(e)
-	if r.TTL > 0 && r.Deaths >= e.count { // the giver's verdict is no milder
+	if r.TTL > 0 && r.DeathCount >= e.count { // the giver's verdict is no milder
 		left = min(left, r.TTL)
 	}
 	e.expires = latest(e.expires, now.Add(left))
@@ -113,7 +113,7 @@
 }
 
 // add notes a death of a fingerprint and reports whether it was new. Holds mu.
-func (b *Book) add(fingerprint, death uint64, now time.Time) (*entry, bool) {
+func (b *Tracker) add(fingerprint, death uint64, now time.Time) (*entry, bool) {
 	e := b.live(fingerprint, now)
 	if e == nil {
 		e = &entry{}
@@ -129,35 +129,35 @@
 	return b
 }
 
-// Survived records that the fingerprint ran to its end without a death: alone, or where
+// RecordCompletion records that the fingerprint ran to its end without a death: alone, or where
 // every run of it is known to the caller. It was an innocent neighbour of the one that
 // killed. A quarantine isn't lifted by it.
-func (b *Book) Survived(fingerprint uint64, now time.Time) {
+func (b *Tracker) RecordCompletion(fingerprint uint64, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e := b.live(fingerprint, now)
-	if e == nil || e.count >= b.opt.Deaths {
+	if e == nil || e.count >= b.opt.DeathThreshold {
 		return
 	}
 	b.seen.Remove(fingerprint)
 }
 
 // Verdict returns how a fingerprint may run at present.
-func (b *Book) Verdict(fingerprint uint64, now time.Time) Verdict {
+func (b *Tracker) Verdict(fingerprint uint64, now time.Time) Verdict {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e := b.live(fingerprint, now)
 	switch {
 	case e == nil:
-		return Clear
-	case e.count >= b.opt.Deaths:
+		return Allow
+	case e.count >= b.opt.DeathThreshold:
 		return Refuse
 	}
-	return Alone
+	return RunAlone
 }
 
 // Remaining returns how long a fingerprint's present verdict lasts at most.
-func (b *Book) Remaining(fingerprint uint64, now time.Time) time.Duration {
+func (b *Tracker) Remaining(fingerprint uint64, now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e := b.live(fingerprint, now)
@@ -169,7 +169,7 @@
 
 // Records returns every death of every live fingerprint, for another process
 // that starts with an empty memory.
-func (b *Book) Records(now time.Time) []Record {
+func (b *Tracker) Records(now time.Time) []Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []Record
@@ -186,7 +186,7 @@
 }
 
 // live returns the entry of a fingerprint unless it has expired. Holds mu.
-func (b *Book) live(fingerprint uint64, now time.Time) *entry {
+func (b *Tracker) live(fingerprint uint64, now time.Time) *entry {
 	e, ok := b.seen.Get(fingerprint)
 	if !ok {
 		return nil
@@ -198,19 +198,19 @@
 	return nil
 }
 
-func (b *Book) lifetime(e *entry) time.Duration {
-	if e.count >= b.opt.Deaths {
-		return b.opt.Sentence
+func (b *Tracker) lifetime(e *entry) time.Duration {
+	if e.count >= b.opt.DeathThreshold {
+		return b.opt.QuarantineTTL
 	}
-	return b.opt.Suspicion
+	return b.opt.SuspicionTTL
 }
 
-func (b *Book) record(fingerprint, death uint64, e *entry, now time.Time) Record {
+func (b *Tracker) record(fingerprint, death uint64, e *entry, now time.Time) Record {
 	return Record{
 		Fingerprint: fingerprint,
-		Death:       death,
-		Deaths:      e.count,
-		Quarantined: e.count >= b.opt.Deaths,
+		DeathID:     death,
+		DeathCount:  e.count,
+		Quarantined: e.count >= b.opt.DeathThreshold,
 		TTL:         e.expires.Sub(now),
 	}
 }
--- a/routing/baseline.go
+++ b/routing/baseline.go
@@ -13,7 +13,7 @@
 }
 
 // Name implements Policy.
-func (p *roundRobin) Name() string { return NameRoundRobin }
+func (p *roundRobin) Name() string { return PolicyRoundRobin }
 
 // Choose implements Policy.
 func (p *roundRobin) Choose(q *Query, rows []backend.Row, _ *rand.Rand, max int, out []Choice) []Choice {
@@ -41,7 +41,7 @@
 type leastLoad struct{}
 
 // Name implements Policy.
-func (leastLoad) Name() string { return NameLeastLoad }
+func (leastLoad) Name() string { return PolicyLeastLoad }
 
 // Choose implements Policy.
 func (leastLoad) Choose(q *Query, rows []backend.Row, rnd *rand.Rand, max int, out []Choice) []Choice {
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -12,7 +12,7 @@
 
 // BenchmarkChoose measures one decision over rows that are at hand.
 func BenchmarkChoose(b *testing.B) {
-	for _, name := range []string{NameCost, NameLeastLoad, NameRoundRobin} {
+	for _, name := range []string{PolicyCost, PolicyLeastLoad, PolicyRoundRobin} {
 		for _, n := range benchSizes {
 			b.Run(fmt.Sprintf("%s/rows=%d", name, n), func(b *testing.B) {
 				benchChoose(b, name, manyRows(n), query(2_000))
@@ -27,14 +27,14 @@
 	for _, n := range benchSizes {
 		rows := manyRows(n)
 		b.Run(fmt.Sprintf("long/rows=%d", n), func(b *testing.B) {
-			benchChoose(b, NameCost, rows, query(150_000))
+			benchChoose(b, PolicyCost, rows, query(150_000))
 		})
 		for i := range rows {
 			rows[i].State = backend.StateLeaving
 		}
 		rows[n/2].State = backend.StateLive
 		b.Run(fmt.Sprintf("lone/rows=%d", n), func(b *testing.B) {
-			benchChoose(b, NameCost, rows, query(2_000))
+			benchChoose(b, PolicyCost, rows, query(2_000))
 		})
 	}
 }
@@ -53,7 +53,7 @@
 func BenchmarkSampleAndChoose(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprintf("rows=%d", n), func(b *testing.B) {
-			p, table, rnd := mustNew(b, NameCost), manyServers(n), newRand()
+			p, table, rnd := mustNew(b, PolicyCost), manyServers(n), newRand()
 			q := query(2_000)
 			out := make([]Choice, 0, 3)
 			var rows []backend.Row
--- a/routing/cost.go
+++ b/routing/cost.go
@@ -50,7 +50,7 @@
 }
 
 // Name implements Policy.
-func (p *costPolicy) Name() string { return NameCost }
+func (p *costPolicy) Name() string { return PolicyCost }
 
 // Choose implements Policy. In a pool of more than maxCandidates rows it looks at
 // a sample, so that its time doesn't grow with the pool; the holders of the
@@ -242,8 +242,8 @@
 		RPCAddress:    row.RPCAddress,
 		EngineAddress: row.EngineAddress,
 		Incarnation:   row.Incarnation,
-		Expected:      seconds(c.cost),
-		Wait:          seconds(c.wait),
+		ExpectedTTFT:  seconds(c.cost),
+		QueueWait:     seconds(c.wait),
 		CachedTokens:  int64(c.cached),
 		FreeTokens:    row.FreeTokens(),
 	}
--- a/routing/costmodel.go
+++ b/routing/costmodel.go
@@ -61,9 +61,9 @@
 type Rates struct {
 	Prefill float64
 	Decode  float64 // of the whole batch
-	// MeanPrefill is the mean prefill time of prompts under the long threshold,
+	// MeanPrefillSeconds is the mean prefill time of prompts under the long threshold,
 	// in seconds.
-	MeanPrefill float64
+	MeanPrefillSeconds float64
 }
 
 // NewCostModel returns a model that has learned nothing. A nil registry counts
@@ -92,7 +92,7 @@
 		r.Prefill = learn(r.Prefill, perSecond(fresh, o.Prefill), o.PrefillRate, defaultPrefillRate)
 	}
 	if o.PromptTokens < request.LargeTokens && o.Prefill > 0 {
-		r.MeanPrefill = learnMean(r.MeanPrefill, o.Prefill.Seconds())
+		r.MeanPrefillSeconds = learnMean(r.MeanPrefillSeconds, o.Prefill.Seconds())
 	}
 	if o.OutputTokens > 1 && o.Decode > 0 {
 		batch := perSecond(o.OutputTokens-1, o.Decode) * float64(max(1, o.Running))
@@ -135,10 +135,10 @@
 // memory returns how fast a load sample loses its worth, in seconds: queues
 // fill and drain in about the time of one prefill.
 func (r Rates) memory() float64 {
-	if r.MeanPrefill == 0 {
+	if r.MeanPrefillSeconds == 0 {
 		return defaultMemory
 	}
-	return min(max(memoryPerPrefill*r.MeanPrefill, minMemory), maxMemory)
+	return min(max(memoryPerPrefill*r.MeanPrefillSeconds, minMemory), maxMemory)
 }
 
 func perSecond(tokens int64, d time.Duration) float64 {
@@ -151,9 +151,9 @@
 	return seconds(float64(max(0, promptTokens-cachedTokens)) / rate)
 }
 
-// Service estimates the whole time on an engine whose batch holds running other
+// ServiceTime estimates the whole time on an engine whose batch holds running other
 // requests.
-func (m *CostModel) Service(pool string, promptTokens, cachedTokens, maxTokens int64, running int32) time.Duration {
+func (m *CostModel) ServiceTime(pool string, promptTokens, cachedTokens, maxTokens int64, running int32) time.Duration {
 	decode := float64(maxTokens) * float64(running+1) / m.Rates(pool).decode(0)
 	return m.TTFT(pool, promptTokens, cachedTokens) + seconds(decode)
 }
--- a/routing/costmodel_test.go
+++ b/routing/costmodel_test.go
@@ -21,7 +21,7 @@
 	if got := m.TTFT("p", 4_000, 0); got < 1900*time.Millisecond || got > 2100*time.Millisecond {
 		t.Errorf("TTFT %v, want 2s", got)
 	}
-	if got := m.Service("p", 0, 0, 500, 1); got < 1900*time.Millisecond || got > 2100*time.Millisecond {
+	if got := m.ServiceTime("p", 0, 0, 500, 1); got < 1900*time.Millisecond || got > 2100*time.Millisecond {
 		t.Errorf("service time %v, want 2s", got)
 	}
 }
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -22,7 +22,7 @@
 		}, 1, backend.Load{Sequence: 1, PrefillShort: prefill, Capacity: 400_000}, now)
 	}
 
-	policy, err := routing.New(routing.NameCost, routing.Options{})
+	policy, err := routing.New(routing.PolicyCost, routing.Options{})
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/routing/filter.go
+++ b/routing/filter.go
@@ -25,7 +25,7 @@
 	if row.State == backend.StateSuspect {
 		return tierSuspect
 	}
-	if !fitsNow(q, row) || !roleFits(row) || (q.Alone && !idle(row)) {
+	if !fitsNow(q, row) || !roleFits(row) || (q.RequireIdle && !idle(row)) {
 		return tierWait
 	}
 	return tierFit
--- a/routing/herd_fault_test.go
+++ b/routing/herd_fault_test.go
@@ -90,17 +90,17 @@
 func TestLyingServerDrawsLittleMore(t *testing.T) {
 	h := herd{entries: 3, servers: 21, load: 0.5, period: time.Second, length: time.Minute, seed: 1, liar: true}
 	shares := map[string]float64{}
-	for _, name := range []string{NameCost, NameLeastLoad} {
+	for _, name := range []string{PolicyCost, PolicyLeastLoad} {
 		h.policy = name
 		res := h.run(t)
 		shares[name] = res.liarShare
 		t.Logf("%-11s %v, share of the liar %.2f", name, res, res.liarShare)
 	}
-	if shares[NameCost] > 1.5 {
-		t.Errorf("the liar got %.2f of an equal share", shares[NameCost])
+	if shares[PolicyCost] > 1.5 {
+		t.Errorf("the liar got %.2f of an equal share", shares[PolicyCost])
 	}
-	if shares[NameLeastLoad] <= shares[NameCost] {
-		t.Errorf("least-load, which believes, gave %.2f: the model shows nothing", shares[NameLeastLoad])
+	if shares[PolicyLeastLoad] <= shares[PolicyCost] {
+		t.Errorf("least-load, which believes, gave %.2f: the model shows nothing", shares[PolicyLeastLoad])
 	}
 }
 
@@ -112,12 +112,12 @@
 func TestReturningZoneIsNotHerdedOn(t *testing.T) {
 	h := herd{entries: 40, servers: 48, load: 0.5, period: 4 * time.Second, length: time.Minute, seed: 1, zone: true}
 	results := map[string]herdResult{}
-	for _, name := range []string{NameCost, NameLeastLoad} {
+	for _, name := range []string{PolicyCost, PolicyLeastLoad} {
 		h.policy = name
 		results[name] = h.run(t)
 		t.Logf("%-11s %v, after the return %.2f", name, results[name], results[name].afterReturn)
 	}
-	cost, least := results[NameCost], results[NameLeastLoad]
+	cost, least := results[PolicyCost], results[PolicyLeastLoad]
 	if cost.afterReturn > 1.1*cost.meanSlowdown {
 		t.Errorf("slowdown %.2f after the return, %.2f in the mean", cost.afterReturn, cost.meanSlowdown)
 	}
--- a/routing/herd_test.go
+++ b/routing/herd_test.go
@@ -270,12 +270,12 @@
 func TestEntriesDoNotHerd(t *testing.T) {
 	h := herd{entries: 40, servers: 48, load: 0.8, period: 4 * time.Second, length: time.Minute, seed: 1}
 	results := map[string]herdResult{}
-	for _, name := range []string{NameCost, NameLeastLoad, NameRoundRobin} {
+	for _, name := range []string{PolicyCost, PolicyLeastLoad, PolicyRoundRobin} {
 		h.policy = name
 		results[name] = h.run(t)
 		t.Logf("%-11s %v", name, results[name])
 	}
-	cost, least, turns := results[NameCost], results[NameLeastLoad], results[NameRoundRobin]
+	cost, least, turns := results[PolicyCost], results[PolicyLeastLoad], results[PolicyRoundRobin]
 	if cost.longest > 0.5*least.longest {
 		t.Errorf("longest queue %.2fs, want at most half of least-load's %.2fs", cost.longest, least.longest)
 	}
@@ -297,7 +297,7 @@
 		{entries: 40, servers: 48, limit: herdLimit},
 	}
 	for _, size := range sizes {
-		for _, name := range []string{NameCost, NameLeastLoad, NameRoundRobin} {
+		for _, name := range []string{PolicyCost, PolicyLeastLoad, PolicyRoundRobin} {
 			for _, period := range periods {
 				h := size
 				h.policy, h.period = name, period
@@ -325,7 +325,7 @@
 		for _, learn := range []bool{false, true} {
 			for _, period := range []time.Duration{250 * time.Millisecond, time.Second, 4 * time.Second} {
 				h := herd{
-					policy: NameCost, entries: 40, servers: 48, load: 0.8, seed: 1,
+					policy: PolicyCost, entries: 40, servers: 48, load: 0.8, seed: 1,
 					rate: rate, learn: learn, period: period,
 					length: 2 * time.Minute * herdRate / time.Duration(rate),
 				}
--- a/routing/new.go
+++ b/routing/new.go
@@ -6,9 +6,9 @@
 
 // Names of the policies, as settings give them.
 const (
-	NameCost       = "cost"        // the default: lowest expected time to first token
-	NameRoundRobin = "round-robin" // baseline
-	NameLeastLoad  = "least-load"  // baseline
+	PolicyCost       = "cost"        // the default: lowest expected time to first token
+	PolicyRoundRobin = "round-robin" // baseline
+	PolicyLeastLoad  = "least-load"  // baseline
 )
 
 // ErrUnknownPolicy is returned by New. Test with errors.Is.
@@ -20,14 +20,14 @@
 	Prefixes *PrefixIndex // nil: no cache affinity
 }
 
-// New returns the policy of a name; an empty name means NameCost.
+// New returns the policy of a name; an empty name means PolicyCost.
 func New(name string, opts Options) (Policy, error) {
 	switch name {
-	case NameCost, "":
+	case PolicyCost, "":
 		return newCostPolicy(opts), nil
-	case NameRoundRobin:
+	case PolicyRoundRobin:
 		return &roundRobin{}, nil
-	case NameLeastLoad:
+	case PolicyLeastLoad:
 		return leastLoad{}, nil
 	}
 	return nil, errors.Annotatef(ErrUnknownPolicy, "step choose policy, name %q", name)
--- a/routing/prefix.go
+++ b/routing/prefix.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// Note remembers that a server was sent a prompt and will soon have it cached.
-func (x *PrefixIndex) Note(server uint64, prefix []uint64) {
+// RecordSent remembers that a server was sent a prompt and will soon have it cached.
+func (x *PrefixIndex) RecordSent(server uint64, prefix []uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if len(prefix) > x.limits.PerServer {
@@ -92,9 +92,9 @@
 	}
 }
 
-// Confirm corrects the hints by what the engine found in its cache: of the
+// Reconcile corrects the hints by what the engine found in its cache: of the
 // blocks of a prompt, cached were there.
-func (x *PrefixIndex) Confirm(server uint64, prefix []uint64, cached int) {
+func (x *PrefixIndex) Reconcile(server uint64, prefix []uint64, cached int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, hash := range prefix[min(max(0, cached), len(prefix)):] {
@@ -102,10 +102,10 @@
 	}
 }
 
-// Apply takes in cache events of a server. Late events are dropped. After a gap
+// ApplyEvents takes in cache events of a server. Late events are dropped. After a gap
 // all hints of the server go: an eviction may have been among the lost events,
 // and hints for blocks that are gone draw requests to the wrong server.
-func (x *PrefixIndex) Apply(server uint64, events []CacheEvent) {
+func (x *PrefixIndex) ApplyEvents(server uint64, events []CacheEvent) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, ev := range events {
@@ -126,8 +126,8 @@
 	}
 }
 
-// Forget drops all hints of a server, as after its restart.
-func (x *PrefixIndex) Forget(server uint64) {
+// RemoveServer drops all hints of a server, as after its restart.
+func (x *PrefixIndex) RemoveServer(server uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.forget(server)
--- a/routing/prefix_test.go
+++ b/routing/prefix_test.go
@@ -14,10 +14,10 @@
 	rows := manyRows(500)
 	holder := rows[123]
 	x := NewPrefixIndex(PrefixLimits{})
-	p, _ := New(NameCost, Options{Prefixes: x})
+	p, _ := New(PolicyCost, Options{Prefixes: x})
 	q := query(50_000)
 	q.Prefix = []uint64{1, 2, 3, 4, 5}
-	x.Note(holder.Key, q.Prefix[:4])
+	x.RecordSent(holder.Key, q.Prefix[:4])
 	rows[123].Load = backend.Load{}
 	got := p.Choose(q, rows, newRand(), 1, nil)
 	if got[0].Name != holder.Name || got[0].CachedTokens != 40_000 {
@@ -28,13 +28,13 @@
 func TestHoldersLongestFirst(t *testing.T) {
 	x := NewPrefixIndex(PrefixLimits{})
 	prefix := []uint64{1, 2, 3, 4, 5, 6, 7, 8}
-	x.Note(100, prefix[:6])
-	x.Note(200, prefix[:3])
+	x.RecordSent(100, prefix[:6])
+	x.RecordSent(200, prefix[:3])
 	got := x.Holders(prefix, make([]Holder, 0, maxHolders))
 	if diff := cmp.Diff([]Holder{{100, 6}, {200, 3}}, got); diff != "" {
 		t.Error(diff)
 	}
-	x.Confirm(100, prefix, 2)
+	x.Reconcile(100, prefix, 2)
 	got = x.Holders(prefix, make([]Holder, 0, maxHolders))
 	if diff := cmp.Diff([]Holder{{200, 3}, {100, 1}}, got); diff != "" {
 		t.Error(diff)
@@ -47,7 +47,7 @@
 	x := NewPrefixIndex(PrefixLimits{})
 	q := query(50_000)
 	q.Prefix = []uint64{1, 2, 3}
-	x.Note(holder.Key, q.Prefix)
+	x.RecordSent(holder.Key, q.Prefix)
 	for range 50 {
 		rows := Candidates(table, x, q, newRand(), nil)
 		if !slices.ContainsFunc(rows, func(r backend.Row) bool { return r.Key == holder.Key }) {
@@ -61,12 +61,12 @@
 // Cause: an index that goes on as if it had seen all of them.
 func TestGapInEventsDropsHints(t *testing.T) {
 	x := NewPrefixIndex(PrefixLimits{})
-	x.Apply(1, []CacheEvent{{Sequence: 1, Hash: 10}, {Sequence: 2, Hash: 11}})
-	x.Apply(1, []CacheEvent{{Sequence: 1, Evict: true, Hash: 10}}) // late
+	x.ApplyEvents(1, []CacheEvent{{Sequence: 1, Hash: 10}, {Sequence: 2, Hash: 11}})
+	x.ApplyEvents(1, []CacheEvent{{Sequence: 1, Evict: true, Hash: 10}}) // late
 	if got := x.Len(); got != 2 {
 		t.Errorf("%d hints after a late event, want 2", got)
 	}
-	x.Apply(1, []CacheEvent{{Sequence: 5, Hash: 12}})
+	x.ApplyEvents(1, []CacheEvent{{Sequence: 5, Hash: 12}})
 	if got := x.Len(); got != 1 {
 		t.Errorf("%d hints after a gap, want 1", got)
 	}
@@ -81,11 +81,11 @@
 			prefix := rapid.SliceOfN(rapid.Uint64Range(1, 12), 0, 6).Draw(t, "prefix")
 			switch rapid.IntRange(0, 3).Draw(t, "kind") {
 			case 0, 1:
-				x.Note(server, prefix)
+				x.RecordSent(server, prefix)
 			case 2:
-				x.Confirm(server, prefix, 1)
+				x.Reconcile(server, prefix, 1)
 			case 3:
-				x.Forget(server)
+				x.RemoveServer(server)
 			}
 			checkIndex(t, x)
 		}
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -25,11 +25,11 @@
 	Prefix       []uint64
 	// ShortShare is the part of the pool that long prompts leave to shorter
 	// ones as far as possible. Zero means a quarter, negative none.
-	ShortShare float64
-	Alone      bool     // a suspect: wants an idle server
-	Exclude    []string // names already tried
-	Now        time.Time
-	Deadline   time.Time
+	ShortShare  float64
+	RequireIdle bool     // a suspect: wants an idle server
+	Exclude     []string // names already tried
+	Now         time.Time
+	Deadline    time.Time
 }
 
 // Choice is one ranked candidate. It is a copy: the table may change meanwhile.
@@ -39,8 +39,8 @@
 	RPCAddress    string
 	EngineAddress string
 	Incarnation   uint64
-	Expected      time.Duration // estimated time to first token
-	Wait          time.Duration // the part of Expected before its own prefill; 0: not estimated
+	ExpectedTTFT  time.Duration // estimated time to first token
+	QueueWait     time.Duration // the part of Expected before its own prefill; 0: not estimated
 	CachedTokens  int64         // hint only
 	FreeTokens    int64         // capacity less used and held, as far as known
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -55,7 +55,7 @@
 }
 
 func TestNewByName(t *testing.T) {
-	for _, name := range []string{NameCost, NameRoundRobin, NameLeastLoad} {
+	for _, name := range []string{PolicyCost, PolicyRoundRobin, PolicyLeastLoad} {
 		if p := mustNew(t, name); p.Name() != name {
 			t.Errorf("New(%q) is %q", name, p.Name())
 		}
@@ -83,8 +83,8 @@
 		{"fits later", func(_ *Query, r *backend.Row) { r.Load.Held = 399_500 }, tierWait},
 		{"suspect", func(_ *Query, r *backend.Row) { r.State = backend.StateSuspect }, tierSuspect},
 		{"other role", func(_ *Query, r *backend.Row) { r.Role = backend.RolePrefill }, tierWait},
-		{"alone, busy", func(q *Query, r *backend.Row) { q.Alone, r.OwnRunning = true, 1 }, tierWait},
-		{"alone, idle", func(q *Query, _ *backend.Row) { q.Alone = true }, tierFit},
+		{"alone, busy", func(q *Query, r *backend.Row) { q.RequireIdle, r.OwnRunning = true, 1 }, tierWait},
+		{"alone, idle", func(q *Query, _ *backend.Row) { q.RequireIdle = true }, tierFit},
 	} {
 		q, row := query(1_000), server("a")
 		c.change(q, &row)
@@ -97,11 +97,11 @@
 // expected returns the cost policy's expected time on one row.
 func expected(t *testing.T, q *Query, row backend.Row) time.Duration {
 	t.Helper()
-	choices := mustNew(t, NameCost).Choose(q, []backend.Row{row}, newRand(), 1, nil)
+	choices := mustNew(t, PolicyCost).Choose(q, []backend.Row{row}, newRand(), 1, nil)
 	if len(choices) != 1 {
 		t.Fatalf("%d choices", len(choices))
 	}
-	return choices[0].Expected
+	return choices[0].ExpectedTTFT
 }
 
 func TestLongPrefillYieldsToShort(t *testing.T) {
@@ -120,7 +120,7 @@
 	near, own, far := server("near"), server("own"), server("far")
 	own.OwnPrefill, own.OwnRunning = 10_000, 1
 	far.Zone = "z2"
-	p := mustNew(t, NameCost)
+	p := mustNew(t, PolicyCost)
 	got := chosen(p, query(1_000), []backend.Row{own, far, near}, 3)
 	if diff := cmp.Diff([]string{"near", "far", "own"}, got); diff != "" {
 		t.Error(diff)
@@ -132,7 +132,7 @@
 	a.Load.PrefillLong = 200_000
 	b.Load.PrefillLong = 100_000
 	c.Load.PrefillShort = 500
-	p := mustNew(t, NameCost)
+	p := mustNew(t, PolicyCost)
 	for _, tokens := range []int64{1_000, 150_000} {
 		got := chosen(p, query(tokens), []backend.Row{a, b, c}, 1)
 		if diff := cmp.Diff([]string{"c"}, got); diff != "" {
@@ -149,7 +149,7 @@
 	old.LoadAt = now.Add(-time.Minute)
 	busy.Load.PrefillShort = 20_000
 	first := 0
-	p, rnd := mustNew(t, NameCost), newRand()
+	p, rnd := mustNew(t, PolicyCost), newRand()
 	for range 1000 {
 		if p.Choose(query(1_000), []backend.Row{old, busy}, rnd, 1, nil)[0].Name == "old" {
 			first++
@@ -171,7 +171,7 @@
 		rows[i].State = backend.StateLeaving
 	}
 	rows[777].State = backend.StateLive
-	got := chosen(mustNew(t, NameCost), query(1_000), rows, 3)
+	got := chosen(mustNew(t, PolicyCost), query(1_000), rows, 3)
 	if diff := cmp.Diff([]string{rows[777].Name}, got); diff != "" {
 		t.Error(diff)
 	}
@@ -181,7 +181,7 @@
 	a, b := server("a"), server("b")
 	a.State = backend.StateSuspect
 	b.Load.PrefillShort = 100_000
-	got := chosen(mustNew(t, NameCost), query(1_000), []backend.Row{a, b}, 2)
+	got := chosen(mustNew(t, PolicyCost), query(1_000), []backend.Row{a, b}, 2)
 	if diff := cmp.Diff([]string{"b", "a"}, got); diff != "" {
 		t.Error(diff)
 	}
@@ -191,10 +191,10 @@
 	a, b, c := server("a"), server("b"), server("c")
 	a.Load.Running, b.Load.Running, c.Load.Running = 3, 1, 2
 	rows := []backend.Row{a, b, c}
-	if diff := cmp.Diff([]string{"b", "c"}, chosen(mustNew(t, NameLeastLoad), query(1), rows, 2)); diff != "" {
+	if diff := cmp.Diff([]string{"b", "c"}, chosen(mustNew(t, PolicyLeastLoad), query(1), rows, 2)); diff != "" {
 		t.Error(diff)
 	}
-	rr := mustNew(t, NameRoundRobin)
+	rr := mustNew(t, PolicyRoundRobin)
 	seen := map[string]int{}
 	for range 30 {
 		seen[chosen(rr, query(1), rows, 1)[0]]++
--- a/slo/burn.go
+++ b/slo/burn.go
@@ -9,8 +9,8 @@
 	"github.com/briarturn/briarturn/request"
 )
 
-// ErrLevel means that a service level makes no sense.
-const ErrLevel = errors.ConstError("invalid service level")
+// ErrInvalidLevel means that a service level makes no sense.
+const ErrInvalidLevel = errors.ConstError("invalid service level")
 
 // State is how urgent a burn is.
 type State string
@@ -31,27 +31,27 @@
 // minWindow is the shortest window.
 const minWindow = time.Second
 
-// Pair is an alarm over two windows: both must burn at Burn or more.
-type Pair struct {
-	Short time.Duration `json:"short_ns"`
-	Long  time.Duration `json:"long_ns"`
-	Burn  float64       `json:"burn"`
-	State State         `json:"state"`
+// AlertRule is an alarm over two windows: both must burn at Burn or more.
+type AlertRule struct {
+	ShortWindow   time.Duration `json:"short_ns"`
+	LongWindow    time.Duration `json:"long_ns"`
+	BurnThreshold float64       `json:"burn"`
+	State         State         `json:"state"`
 }
 
-// DefaultPairs returns 5m/1h at 14.4 (page) and 30m/6h at 6 (warning).
-func DefaultPairs() []Pair {
-	return []Pair{
-		{Short: 5 * time.Minute, Long: time.Hour, Burn: 14.4, State: StatePage},
-		{Short: 30 * time.Minute, Long: 6 * time.Hour, Burn: 6, State: StateWarning},
+// DefaultAlertRules returns 5m/1h at 14.4 (page) and 30m/6h at 6 (warning).
+func DefaultAlertRules() []AlertRule {
+	return []AlertRule{
+		{ShortWindow: 5 * time.Minute, LongWindow: time.Hour, BurnThreshold: 14.4, State: StatePage},
+		{ShortWindow: 30 * time.Minute, LongWindow: 6 * time.Hour, BurnThreshold: 6, State: StateWarning},
 	}
 }
 
 // Windows returns the windows that the pairs need, in rising order.
-func Windows(pairs []Pair) []time.Duration {
+func Windows(pairs []AlertRule) []time.Duration {
 	var out []time.Duration
 	for _, p := range pairs {
-		out = append(out, p.Short, p.Long)
+		out = append(out, p.ShortWindow, p.LongWindow)
 	}
 	slices.Sort(out)
 	return slices.Compact(out)
@@ -59,31 +59,31 @@
 
 // Level is a service level: what share of which requests must be good.
 type Level struct {
-	Name      string          `json:"name"`
-	Workspace string          `json:"workspace,omitempty"` // all if empty
-	Classes   []request.Class `json:"classes,omitempty"`   // all if empty
-	Objective string          `json:"objective"`
-	Target    float64         `json:"target"` // share of good requests, below 1
-	Pairs     []Pair          `json:"pairs,omitempty"`
+	Name       string          `json:"name"`
+	Workspace  string          `json:"workspace,omitempty"` // all if empty
+	Classes    []request.Class `json:"classes,omitempty"`   // all if empty
+	Objective  string          `json:"objective"`
+	Target     float64         `json:"target"` // share of good requests, below 1
+	AlertRules []AlertRule     `json:"pairs,omitempty"`
 }
 
 func (l *Level) check() error {
 	if l.Objective == "" || !(l.Target > 0 && l.Target < 1) {
-		return errors.Annotatef(ErrLevel, "level %q: objective, and target within 0 and 1, are required", l.Name)
+		return errors.Annotatef(ErrInvalidLevel, "level %q: objective, and target within 0 and 1, are required", l.Name)
 	}
-	for i, p := range l.Pairs {
-		if p.Short < minWindow || p.Long < p.Short || !(p.Burn > 0) || p.State.rank() < 0 {
-			return errors.Annotatef(ErrLevel, "level %q: pairs[%d] needs windows of %v or more, a burn above 0 and a state", l.Name, i, minWindow)
+	for i, p := range l.AlertRules {
+		if p.ShortWindow < minWindow || p.LongWindow < p.ShortWindow || !(p.BurnThreshold > 0) || p.State.rank() < 0 {
+			return errors.Annotatef(ErrInvalidLevel, "level %q: pairs[%d] needs windows of %v or more, a burn above 0 and a state", l.Name, i, minWindow)
 		}
 	}
 	return nil
 }
 
-func (l *Level) pairs() []Pair {
-	if len(l.Pairs) == 0 {
-		return DefaultPairs()
+func (l *Level) pairs() []AlertRule {
+	if len(l.AlertRules) == 0 {
+		return DefaultAlertRules()
 	}
-	return l.Pairs
+	return l.AlertRules
 }
 
 func (l *Level) covers(k Key) bool {
@@ -114,7 +114,7 @@
 
 // Burn works out a level's burn rates at now from the snapshots of all
 // entries. A window covers itself and the slice in progress, a thirtieth more
-// at most. Errors match ErrLevel.
+// at most. Errors match ErrInvalidLevel.
 func Burn(level Level, snaps []Snapshot, now time.Time) (Result, error) {
 	if err := level.check(); err != nil {
 		return Result{}, errors.Trace(err)
@@ -129,7 +129,7 @@
 		}
 	}
 	for _, p := range level.pairs() {
-		if res.at(p.Short) >= p.Burn && res.at(p.Long) >= p.Burn && p.State.rank() > res.State.rank() {
+		if res.at(p.ShortWindow) >= p.BurnThreshold && res.at(p.LongWindow) >= p.BurnThreshold && p.State.rank() > res.State.rank() {
 			res.State = p.State
 		}
 	}
--- a/slo/doc.go
+++ b/slo/doc.go
@@ -9,7 +9,7 @@
 //   - A burn rate is the share of bad requests over a window, divided by the
 //     share that the objective allows: at 1 the budget lasts exactly its
 //     period, at 14.4 a 30-day budget lasts two days.
-//   - An alarm needs both windows of a Pair: the long one says that it matters,
+//   - An alarm needs both windows of an AlertRule: the long one says that it matters,
 //     the short one that it still goes on.
 //   - A request's own judgement (good or bad) is the caller's, who knows the
 //     objective's threshold.
--- a/slo/histogram.go
+++ b/slo/histogram.go
@@ -7,9 +7,9 @@
 	"github.com/juju/errors"
 )
 
-// ErrHistogram means that an encoded histogram is damaged or of another
+// ErrInvalidHistogram means that an encoded histogram is damaged or of another
 // geometry.
-const ErrHistogram = errors.ConstError("invalid histogram")
+const ErrInvalidHistogram = errors.ConstError("invalid histogram")
 
 // Geometry of all histograms, in microseconds. It is part of the wire format:
 // histograms of two geometries can't be merged without loss.
@@ -70,14 +70,14 @@
 	return data, errors.Annotate(err, "step encode histogram")
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler. Errors match ErrHistogram.
+// UnmarshalText implements encoding.TextUnmarshaler. Errors match ErrInvalidHistogram.
 func (h *Histogram) UnmarshalText(data []byte) error {
 	p, err := hdr.DecodePacked(data)
 	if err != nil {
-		return errors.WithType(errors.Annotate(err, "step decode histogram"), ErrHistogram)
+		return errors.WithType(errors.Annotate(err, "step decode histogram"), ErrInvalidHistogram)
 	}
 	if p.LowestTrackableValue() != lowestMicros || p.HighestTrackableValue() != highestMicros || p.SignificantFigures() != digits {
-		return errors.Annotate(ErrHistogram, "other geometry")
+		return errors.Annotate(ErrInvalidHistogram, "other geometry")
 	}
 	h.packed = p
 	return nil
--- a/slo/objective.go
+++ b/slo/objective.go
@@ -6,8 +6,8 @@
 	MeasureInterToken = "inter_token"
 )
 
-// ObjectiveOf returns the Objective of Key and Level for one measure of a
+// ObjectiveName returns the Objective of Key and Level for one measure of a
 // declared service level. It holds the level's name, because two levels of one
 // workspace and class may set different thresholds: counted together, neither
 // would be right.
-func ObjectiveOf(serviceLevel, measure string) string { return serviceLevel + "/" + measure }
+func ObjectiveName(serviceLevel, measure string) string { return serviceLevel + "/" + measure }
--- a/slo/report.go
+++ b/slo/report.go
@@ -33,7 +33,7 @@
 	Levels  []LevelReport `json:"levels"`
 }
 
-// NewReport works out all levels. Errors match ErrLevel.
+// NewReport works out all levels. Errors match ErrInvalidLevel.
 func NewReport(levels []Level, snaps []Snapshot, now time.Time) (*Report, error) {
 	merged := Merge(snaps...)
 	rep := &Report{At: now, Sources: merged.Sources}
--- a/slo/slo_test.go
+++ b/slo/slo_test.go
@@ -149,7 +149,7 @@
 func TestOldCellsDoNotComeBack(t *testing.T) {
 	tr := NewTracker(Config{})
 	feed(tr, start, 10, 1)
-	for _, w := range Windows(DefaultPairs()) {
+	for _, w := range Windows(DefaultAlertRules()) {
 		now := start.Add(widthOf(w) * (ringCells + 1))
 		tr.Record(key("a"), true, 0, now)
 		for _, b := range stateAt(t, tr, now).Windows {
@@ -173,13 +173,13 @@
 		}
 	}
 	l := level
-	l.Pairs = []Pair{{Short: 2 * time.Minute, Long: 2 * time.Hour, Burn: 1, State: StatePage}}
+	l.AlertRules = []AlertRule{{ShortWindow: 2 * time.Minute, LongWindow: 2 * time.Hour, BurnThreshold: 1, State: StatePage}}
 	res, err := Burn(l, []Snapshot{Merge(tr.Snapshot("e", now))}, now)
 	if err != nil || res.State != StateUnknown {
 		t.Errorf("%+v, %v", res, err)
 	}
-	l.Pairs[0].Short = 0
-	if _, err := Burn(l, nil, now); !errors.Is(err, ErrLevel) {
+	l.AlertRules[0].ShortWindow = 0
+	if _, err := Burn(l, nil, now); !errors.Is(err, ErrInvalidLevel) {
 		t.Errorf("window of 0: %v", err)
 	}
 }
@@ -189,12 +189,12 @@
 	tr.Record(key("a"), true, 0, start)
 	tr.Record(key("b"), true, 0, start.Add(5*time.Hour))
 	tr.Record(key("c"), true, 0, start.Add(5*time.Hour))
-	if tr.Refused() != 1 {
-		t.Errorf("%d refused", tr.Refused())
+	if tr.Uncounted() != 1 {
+		t.Errorf("%d refused", tr.Uncounted())
 	}
 	tr.Record(key("c"), true, 0, start.Add(7*time.Hour))
 	snap := tr.Snapshot("e", start)
-	if len(snap.Series) != 2 || snap.Series[1].Workspace != "c" || tr.Refused() != 1 {
+	if len(snap.Series) != 2 || snap.Series[1].Workspace != "c" || tr.Uncounted() != 1 {
 		t.Errorf("%+v", snap.Series)
 	}
 }
@@ -203,7 +203,7 @@
 // first token, so they have no latency to miss a target with. Cause under test:
 // a failure has to count as bad by itself, and stay out of the distribution.
 func TestObserveJudgesByThePromise(t *testing.T) {
-	promises := []Promise{
+	promises := []LatencyTarget{
 		{Name: "p", Workspace: "a", TTFT: time.Second, InterToken: 50 * time.Millisecond},
 		{Name: "other", Workspace: "b", TTFT: time.Second},
 	}
@@ -232,7 +232,7 @@
 
 func TestHistogramRefusesOtherGeometry(t *testing.T) {
 	for _, text := range []string{"", "garbage", "HISTFAAAAA"} {
-		if err := NewHistogram().UnmarshalText([]byte(text)); !errors.Is(err, ErrHistogram) {
+		if err := NewHistogram().UnmarshalText([]byte(text)); !errors.Is(err, ErrInvalidHistogram) {
 			t.Errorf("%q: %v", text, err)
 		}
 	}
@@ -252,7 +252,7 @@
 	if err := rep.WriteHTML(&page); err != nil || !bytes.Contains(page.Bytes(), []byte("<svg")) {
 		t.Errorf("page of %d bytes, %v", page.Len(), err)
 	}
-	if _, err := NewReport([]Level{{Objective: "ttft", Target: 1}}, nil, now); !errors.Is(err, ErrLevel) {
+	if _, err := NewReport([]Level{{Objective: "ttft", Target: 1}}, nil, now); !errors.Is(err, ErrInvalidLevel) {
 		t.Errorf("target 1: %v", err)
 	}
 }
--- a/slo/promise.go
+++ b/slo/target.go
@@ -6,8 +6,8 @@
 	"github.com/briarturn/briarturn/request"
 )
 
-// Promise is a declared service level as a process judges requests by it.
-type Promise struct {
+// LatencyTarget is a declared service level as a process judges requests by it.
+type LatencyTarget struct {
 	Name       string // of the ServiceLevel
 	Workspace  string
 	Class      request.Class
@@ -27,8 +27,8 @@
 }
 
 // Observe counts a request under each promise that concerns it, for each
-// measure that has a target, under the names that ObjectiveOf gives.
-func (t *Tracker) Observe(promises []Promise, o Observation, now time.Time) {
+// measure that has a target, under the names that ObjectiveName gives.
+func (t *Tracker) Observe(promises []LatencyTarget, o Observation, now time.Time) {
 	for i := range promises {
 		p := &promises[i]
 		if p.Workspace != o.Workspace || p.Class != o.Class {
@@ -39,13 +39,13 @@
 	}
 }
 
-func (t *Tracker) observe(p *Promise, measure string, target, value time.Duration, failed bool, now time.Time) {
+func (t *Tracker) observe(p *LatencyTarget, measure string, target, value time.Duration, failed bool, now time.Time) {
 	if target <= 0 || (value < 0 && !failed) {
 		return
 	}
 	if failed {
 		value = -1 // it has no latency to go into the distribution
 	}
-	k := Key{Workspace: p.Workspace, Class: p.Class, Objective: ObjectiveOf(p.Name, measure)}
+	k := Key{Workspace: p.Workspace, Class: p.Class, Objective: ObjectiveName(p.Name, measure)}
 	t.Record(k, !failed && value <= target, value, now)
 }
--- a/slo/tracker.go
+++ b/slo/tracker.go
@@ -30,7 +30,7 @@
 
 // Config configures a Tracker. The zero value is usable.
 type Config struct {
-	// Windows to keep counts for; those of DefaultPairs if empty. Each must be
+	// Windows to keep counts for; those of DefaultAlertRules if empty. Each must be
 	// at least a second.
 	Windows []time.Duration
 	// MaxSeries bounds the keys; 8192 if zero.
@@ -57,7 +57,7 @@
 func NewTracker(c Config) *Tracker {
 	windows := slices.Clone(c.Windows)
 	if len(windows) == 0 {
-		windows = Windows(DefaultPairs())
+		windows = Windows(DefaultAlertRules())
 	}
 	slices.Sort(windows)
 	windows = slices.Compact(windows)
@@ -122,8 +122,8 @@
 	}
 }
 
-// Refused returns how many requests were not counted for want of room.
-func (t *Tracker) Refused() int64 {
+// Uncounted returns how many requests were not counted for want of room.
+func (t *Tracker) Uncounted() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.refused
--- a/warmup/limiter.go
+++ b/warmup/limiter.go
@@ -48,16 +48,16 @@
 	l.entries.set(append([]string{l.self}, others...), now)
 }
 
-// Allows reports whether this entry may send one more request to a cold server that
+// CanSend reports whether this entry may send one more request to a cold server that
 // bears so many a second.
-func (l *Limiter) Allows(instance string, perSecond float64, now time.Time) bool {
+func (l *Limiter) CanSend(instance string, perSecond float64, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.allowsLocked(l.serverLocked(instance), instance, perSecond, now)
 }
 
-// Take is Allows for a request that is sent now, and notes it.
-func (l *Limiter) Take(instance string, perSecond float64, now time.Time) bool {
+// TryAcquire is Allows for a request that is sent now, and notes it.
+func (l *Limiter) TryAcquire(instance string, perSecond float64, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.serverLocked(instance)
@@ -68,8 +68,8 @@
 	return true
 }
 
-// Forget drops the servers that keep does not name.
-func (l *Limiter) Forget(keep func(instance string) bool) {
+// Retain drops the servers that keep does not name.
+func (l *Limiter) Retain(keep func(instance string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for instance := range l.servers {
--- a/warmup/limiter_test.go
+++ b/warmup/limiter_test.go
@@ -33,7 +33,7 @@
 				l := NewLimiter(name, epoch)
 				now := epoch.Add(time.Minute)
 				l.SetEntries(nameList(entries), now)
-				for l.Take(instance, rate, now) {
+				for l.TryAcquire(instance, rate, now) {
 					taken++
 				}
 				sum += l.partLocked(instance, int(rate))
@@ -50,14 +50,14 @@
 func TestNothingIsSentInTheFirstMoments(t *testing.T) {
 	epoch := time.Unix(1000, 0)
 	l := NewLimiter("e0", epoch)
-	if l.Allows(instance, 100, epoch.Add(time.Minute)) {
+	if l.CanSend(instance, 100, epoch.Add(time.Minute)) {
 		t.Error("sends before it knows the others")
 	}
 	l.SetEntries(nameList(3), epoch)
-	if l.Allows(instance, 100, epoch.Add(sendWindow-1)) {
+	if l.CanSend(instance, 100, epoch.Add(sendWindow-1)) {
 		t.Error("sends in its first moments")
 	}
-	if !l.Allows(instance, 100, epoch.Add(sendWindow)) {
+	if !l.CanSend(instance, 100, epoch.Add(sendWindow)) {
 		t.Error("never sends")
 	}
 }
@@ -68,12 +68,12 @@
 	l := NewLimiter("e0", epoch)
 	l.SetEntries(nil, epoch)
 	first := epoch.Add(time.Minute)
-	if !l.Take(instance, 1, first) {
+	if !l.TryAcquire(instance, 1, first) {
 		t.Fatal("the first is refused")
 	}
 	arrives := first.Add(upstream.DefaultDialTimeout)
 	for at := first; at.Sub(arrives) < time.Second; at = at.Add(10 * time.Millisecond) {
-		if l.Take(instance, 1, at) {
+		if l.TryAcquire(instance, 1, at) {
 			t.Fatalf("a second send %v after the arrival of the first", at.Sub(arrives))
 		}
 	}
@@ -106,7 +106,7 @@
 	l.SetEntries(nameList(1), gone)
 	takes := func(now time.Time) int {
 		n := 0
-		for l.Take(instance, 10, now) {
+		for l.TryAcquire(instance, 10, now) {
 			n++
 		}
 		return n
@@ -180,7 +180,7 @@
 				}
 			default: // as much as may be
 				for _, other := range members {
-					for now.After(other.frozen) && other.Take(instance, float64(rate), now) {
+					for now.After(other.frozen) && other.TryAcquire(instance, float64(rate), now) {
 						held := time.Duration(rapid.IntRange(0, 400).Draw(t, "held")) * time.Millisecond
 						sends = append(sends, now.Add(held))
 					}
--- a/wire/evidence.go
+++ b/wire/evidence.go
@@ -11,25 +11,25 @@
 func EvidenceMessage(r quarantine.Record) *wirepb.Evidence {
 	return &wirepb.Evidence{
 		Fingerprint: r.Fingerprint,
-		Deaths:      uint32(r.Deaths),
+		Deaths:      uint32(r.DeathCount),
 		Quarantined: r.Quarantined,
 		TtlMs:       uint64(max(r.TTL, 0).Milliseconds()),
-		Death:       r.Death,
+		Death:       r.DeathID,
 	}
 }
 
 // LearnEvidence enters evidence in a book and returns what was news.
-func LearnEvidence(book *quarantine.Book, list []*wirepb.Evidence, now time.Time) []*wirepb.Evidence {
+func LearnEvidence(book *quarantine.Tracker, list []*wirepb.Evidence, now time.Time) []*wirepb.Evidence {
 	var news []*wirepb.Evidence
 	for _, e := range list {
 		r := quarantine.Record{
 			Fingerprint: e.GetFingerprint(),
-			Death:       e.GetDeath(),
-			Deaths:      int(e.GetDeaths()),
+			DeathID:     e.GetDeath(),
+			DeathCount:  int(e.GetDeaths()),
 			Quarantined: e.GetQuarantined(),
 			TTL:         time.Duration(e.GetTtlMs()) * time.Millisecond,
 		}
-		if book.Learn(r, now) {
+		if book.Merge(r, now) {
 			news = append(news, e)
 		}
 	}
