--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -30,7 +30,7 @@
 	Placer        Placer
 	Budget        *RetryBudget
 	Reserver      *reservation.Reserver
-	Quarantine    *quarantine.Book
+	Quarantine    *quarantine.Tracker
 	DeathReporter DeathReporter
 	Options       Options
 	Log           logrus.FieldLogger
--- a/peering/exchange.go
+++ b/peering/exchange.go
@@ -51,7 +51,7 @@
 	LinkMbps      int // of the VM; 0: not known
 	Store         objectapi.Store
 	Ledger        *placement.Ledger
-	Quarantine    *quarantine.Book
+	Quarantine    *quarantine.Tracker
 	// OnEntriesChanged is told the names of all entries, this one included, and whether the object
 	// API has listed them once: before that only some are known.
 	OnEntriesChanged func(names []string, listed bool)
