--- a/upstream/directory.go
+++ b/upstream/directory.go
@@ -7,59 +7,59 @@
 	"github.com/briarturn/briarturn/internal/boottime"
 )
 
-// Server is one backend server as its registration shows it.
+// Server describes one registered backend server.
 type Server struct {
-	Instance      string // names the server; one that starts again may keep it
-	StartedUnixMs int64  // tells its lives apart: when it started, Unix ms; 0: not known
+	Instance      string // name of the server; a restarted server may keep it
+	StartedUnixMs int64  // start time, Unix ms; distinguishes restarts under one name; 0: unknown
 	Service       string
 	Address       string // IP:PORT
 	Zone          string
-	Region        string // of the zone; empty: not known
-	Capacity      int    // requests that it runs at a time
-	Draining      bool   // takes no new work
-	// ColdUntil is when a freshly started server runs at its full speed.
+	Region        string // region of the zone; empty: unknown
+	Capacity      int    // maximum number of concurrent requests
+	Draining      bool   // accepts no new requests
+	// ColdUntil is when a freshly started server reaches its full speed.
 	ColdUntil time.Time
-	Revision  uint64 // of its registration; rises with each change
+	Revision  uint64 // of the registration; increases with each change
 }
 
 // DefaultAbsentGrace is how long a server that is missing after an outage of the
-// store stays in use. Registrations lapse while the store is away; servers that
-// live are registered again within about two seconds of its return.
+// store stays in use. Registrations expire while the store is unavailable; live
+// servers register again within about two seconds after it returns.
 const DefaultAbsentGrace = 2 * time.Second
 
 // Directory holds the registered backend servers. It is safe for concurrent use;
-// mu guards all fields and is a leaf lock.
+// mu guards the fields below it and is a leaf lock.
 type Directory struct {
 	grace time.Duration
 
-	mu       sync.Mutex
-	servers  map[string]Server // by instance
-	absent   map[string]time.Time
-	outage   bool
-	returned time.Time
-	version  uint64
-	proved   boottime.Instant
+	mu               sync.Mutex
+	servers          map[string]Server // by instance
+	absentUntil      map[string]time.Time
+	storeUnavailable bool
+	storeAvailableAt time.Time
+	version          uint64
+	currentAsOf      boottime.Instant
 }
 
 // NewDirectory returns an empty Directory; grace is how long servers that are
-// missing after an outage stay in use.
+// missing after an outage of the store stay in use.
 func NewDirectory(grace time.Duration) *Directory {
-	return &Directory{grace: grace, servers: map[string]Server{}, absent: map[string]time.Time{}}
+	return &Directory{grace: grace, servers: map[string]Server{}, absentUntil: map[string]time.Time{}}
 }
 
-// MarkStoreUnavailable notes that the store is out of reach: from now on a missing registration
-// may have lapsed though its server lives.
+// MarkStoreUnavailable records that the store can't be reached. From now on a
+// registration may expire although its server is alive.
 func (d *Directory) MarkStoreUnavailable() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.outage = true
+	d.storeUnavailable = true
 }
 
-// Replace takes the complete list of registered servers.
+// Replace replaces the content by the complete list of registered servers.
 func (d *Directory) Replace(servers []Server, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.returnLocked(now)
+	d.markStoreAvailableLocked(now)
 	listed := make(map[string]bool, len(servers))
 	for _, s := range servers {
 		listed[s.Instance] = true
@@ -73,15 +73,15 @@
 	d.sweepLocked(now)
 }
 
-// Put takes one new or changed registration.
+// Put adds or updates one registration.
 func (d *Directory) Put(s Server) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.putLocked(s)
 }
 
-// IsRestart reports whether a registration is of a later life of a server than the
-// one held: it knows nothing of what was sent to it before.
+// IsRestart reports whether a registration comes from a later start of a server
+// than the stored one. A restarted server has lost all requests sent to it before.
 func (d *Directory) IsRestart(s Server) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -89,90 +89,93 @@
 	return ok && s.StartedUnixMs > held.StartedUnixMs && held.StartedUnixMs != 0
 }
 
-// Remove takes the end of a registration.
+// Remove handles the end of a registration.
 func (d *Directory) Remove(instance string, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.removeLocked(instance, now)
 }
 
-// MarkStoreAvailable notes that the store answered.
+// MarkStoreAvailable records that the store answered.
 func (d *Directory) MarkStoreAvailable(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.returnLocked(now)
+	d.markStoreAvailableLocked(now)
 }
 
-func (d *Directory) returnLocked(now time.Time) {
-	if d.outage {
-		d.outage = false
-		d.returned = now
+func (d *Directory) markStoreAvailableLocked(now time.Time) {
+	if d.storeUnavailable {
+		d.storeUnavailable = false
+		d.storeAvailableAt = now
 	}
 }
 
-// putLocked takes a registration. How long a server stays cold counts from when its
-// registration was first read: read again, from another peer or after a gap, the same
-// word would make it cold anew.
+// putLocked stores a registration. The time that a server stays cold counts from the
+// first read of its registration. If the same revision is read again, from another
+// peer or after a gap, ColdUntil is kept, so that the cold period doesn't restart.
 func (d *Directory) putLocked(s Server) {
 	if held, ok := d.servers[s.Instance]; ok && s.Revision != 0 && held.Revision == s.Revision {
 		s.ColdUntil = held.ColdUntil
 	}
 	d.servers[s.Instance] = s
-	delete(d.absent, s.Instance)
+	delete(d.absentUntil, s.Instance)
 	d.version++
 }
 
-// removeLocked drops a server, or after an outage gives it time to come back:
-// without that, a store that returns with an empty list would leave no server
-// though all of them live.
+// removeLocked removes a server. Shortly after an outage of the store it keeps the
+// server for the grace period instead, so that it can register again: otherwise a
+// store that returns with an empty list would leave no servers although all of them
+// are alive.
 func (d *Directory) removeLocked(instance string, now time.Time) {
-	if now.Sub(d.returned) < d.grace && !d.returned.IsZero() {
-		if _, waiting := d.absent[instance]; !waiting {
-			d.absent[instance] = d.returned.Add(d.grace)
+	if now.Sub(d.storeAvailableAt) < d.grace && !d.storeAvailableAt.IsZero() {
+		if _, waiting := d.absentUntil[instance]; !waiting {
+			d.absentUntil[instance] = d.storeAvailableAt.Add(d.grace)
 		}
 		return
 	}
 	delete(d.servers, instance)
-	delete(d.absent, instance)
+	delete(d.absentUntil, instance)
 	d.version++
 }
 
+// sweepLocked removes the servers whose grace period has ended.
 func (d *Directory) sweepLocked(now time.Time) {
-	for instance, until := range d.absent {
+	for instance, until := range d.absentUntil {
 		if now.Before(until) {
 			continue
 		}
 		delete(d.servers, instance)
-		delete(d.absent, instance)
+		delete(d.absentUntil, instance)
 		d.version++
 	}
 }
 
-// MarkCurrent notes that a call begun at asked showed the content to be current.
+// MarkCurrent records that a call to the store that started at asked confirmed the
+// content as current.
 func (d *Directory) MarkCurrent(asked boottime.Instant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.proved = max(d.proved, asked)
+	d.currentAsOf = max(d.currentAsOf, asked)
 }
 
-// CurrentAsOf returns when the content was last proved current.
+// CurrentAsOf returns the latest instant as of which the content is confirmed current.
 func (d *Directory) CurrentAsOf() boottime.Instant {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.proved
+	return d.currentAsOf
 }
 
-// Version changes whenever the content does.
+// Version returns a number that changes whenever the content does.
 func (d *Directory) Version() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.version
 }
 
-// AvailableServers returns the servers of a service that take new work, in no order. A server
-// whose time to come back has passed is gone from then on, whether or not the store
-// answers at that moment: waiting for its next word would send new work to a server
-// that left long ago.
+// AvailableServers returns the servers of a service that accept new requests, in no
+// order. It removes a server whose grace period has ended even while the store is
+// unavailable: waiting for the next answer of the store would send new requests to a
+// server that left long ago.
 func (d *Directory) AvailableServers(service string, now time.Time) []Server {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/upstream/doc.go
+++ b/upstream/doc.go
@@ -1,8 +1,8 @@
-// Package upstream reaches the backend servers: which there are, connections to
-// them, and one exchange at a time on each connection.
+// Package upstream holds the directory of backend servers, the connection pool, and
+// the HTTP exchanges with the servers, one at a time on each connection.
 //
-// Rules kept here: a request is written to one connection once and never again by
-// itself; an answer counts only if it carries the request's own id; a connection
-// on which anything was unexpected is closed; the caller learns whether anything
-// was written, so that it can tell "did not run" from "may have run".
+// Guarantees: a request is written to one connection once and is never resent by
+// this package; a response is accepted only if it carries the request's own id; a
+// connection is closed after anything unexpected on it; errors show whether anything
+// was written, so that the caller can distinguish "did not run" from "may have run".
 package upstream
--- a/upstream/exchange.go
+++ b/upstream/exchange.go
@@ -16,38 +16,39 @@
 
 // Errors of an exchange. Test with errors.Is.
 const (
-	// ErrNotSent: no byte of the request left this process.
+	// ErrNotSent means that no byte of the request was sent.
 	ErrNotSent = errors.ConstError("request not sent")
-	// ErrBroken: the connection ended or carried what is no answer. If the request
-	// was sent it may have run.
+	// ErrBroken means that the connection closed or carried no valid response. If
+	// the request was sent, it may have run.
 	ErrBroken = errors.ConstError("connection to backend server broke")
 )
 
-// strayAnswers is how many answers to other requests are skipped on a connection
-// before it is given up.
-const strayAnswers = 2
+// maxStrayResponses is the number of responses to other requests that are skipped on
+// a connection before the exchange fails.
+const maxStrayResponses = 2
 
-// directBody is the largest body that is written before the answer is read. A
-// larger one is written beside, for a server may answer before it has read it.
-const directBody = 4 << 10
+// maxInlineBody is the largest body, in bytes, that is written before the response
+// is read. A larger body is written concurrently with reading, because a server may
+// respond before it has read the body.
+const maxInlineBody = 4 << 10
 
-// Request is one request as it goes to a backend server.
+// Request is one HTTP request to a backend server.
 type Request struct {
 	Method string
-	Target string // path and query as the caller wrote them
+	Target string // path and query exactly as the caller sent them
 	Host   string
 	Header http.Header
 	Body   []byte
-	// MatchesResponse reports whether an answer with this head is to this request.
+	// MatchesResponse reports whether a response with this head belongs to this request.
 	MatchesResponse func(status int, header http.Header) bool
 }
 
-// Response is the head of an answer and its body to be read. Close it.
+// Response is the head of a response and a reader of its body. Callers must Close it.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   io.Reader
-	// ContentLength of the body; -1 if the head does not give it.
+	// ContentLength is the length of the body in bytes; -1 if the head doesn't give it.
 	ContentLength int64
 
 	exchange *exchange
@@ -55,34 +56,34 @@
 
 // exchange is one request on one connection.
 type exchange struct {
-	pool    *Pool
-	address string
-	conn    *conn
-	stop    func() bool // ends the watch over the context
-	written chan error  // result of a body that is written beside; nil if none is
-	clean   bool        // the connection may be used again
-	raw     *http.Response
-}
-
-// Do sends a request and returns the head of its answer. When ctx ends, the
-// connection is closed, at once and also while the body is read: the server then
-// drops the request. The error is ErrNotSent or ErrBroken.
+	pool             *Pool
+	address          string
+	conn             *conn
+	stopContextWatch func() bool // stops closing the connection when the context ends
+	bodyResult       chan error  // result of writeBodyAsync; nil if the body was written inline
+	reusable         bool        // nothing unexpected happened on the connection
+	raw              *http.Response
+}
+
+// Do sends a request and returns the head of its response. When ctx ends, the
+// connection is closed immediately, also while the body is being read, so that the
+// server drops the request. The error is ErrNotSent or ErrBroken.
 func (p *Pool) Do(ctx context.Context, address string, r *Request) (*Response, error) {
 	c, err := p.get(ctx, address)
 	if err != nil {
 		return nil, errors.WithType(err, ErrNotSent)
 	}
-	x := &exchange{pool: p, address: address, conn: c, clean: true}
-	x.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
-	response, err := x.run(r)
+	x := &exchange{pool: p, address: address, conn: c, reusable: true}
+	x.stopContextWatch = context.AfterFunc(ctx, func() { _ = c.Close() })
+	response, err := x.roundTrip(r)
 	if err != nil {
-		x.end(false)
+		x.finish(false)
 		return nil, errors.Annotatef(err, "step exchange, peer %s", address)
 	}
 	return response, nil
 }
 
-func (x *exchange) run(r *Request) (*Response, error) {
+func (x *exchange) roundTrip(r *Request) (*Response, error) {
 	if err := x.write(r); err != nil {
 		return nil, err
 	}
@@ -95,11 +96,11 @@
 			x.raw = raw
 			return x.response(raw), nil
 		}
-		// A second answer to an earlier request. Taken for ours, one caller would
-		// read what was meant for another.
-		x.clean = false
-		if stray == strayAnswers {
-			return nil, errors.WithType(errors.New("answers of other requests"), ErrBroken)
+		// This is a second response to an earlier request. Returning it would give
+		// one caller the response of another.
+		x.reusable = false
+		if stray == maxStrayResponses {
+			return nil, errors.WithType(errors.New("responses to other requests"), ErrBroken)
 		}
 		if _, err := io.Copy(io.Discard, raw.Body); err != nil {
 			return nil, errors.WithType(err, ErrBroken)
@@ -107,16 +108,16 @@
 	}
 }
 
-// write sends the head, and with it a small body. Only a first write that took
-// no byte proves that nothing left: the server may run a request whose
+// write sends the head, together with a small body. Only a first write that wrote
+// no byte proves that nothing was sent: the server may run a request whose
 // connection fails later.
 func (x *exchange) write(r *Request) error {
 	var out bytes.Buffer
 	if err := r.writeHead(&out); err != nil {
 		return errors.WithType(err, ErrNotSent)
 	}
-	beside := len(r.Body) > directBody
-	if !beside {
+	async := len(r.Body) > maxInlineBody
+	if !async {
 		out.Write(r.Body)
 	}
 	n, err := x.conn.Write(out.Bytes())
@@ -126,23 +127,24 @@
 	if err != nil {
 		return errors.WithType(err, ErrBroken)
 	}
-	if beside {
-		x.writeBeside(r.Body)
+	if async {
+		x.writeBodyAsync(r.Body)
 	}
 	return nil
 }
 
-// writeBeside writes the body in a goroutine that ends with the connection.
-func (x *exchange) writeBeside(body []byte) {
-	x.written = make(chan error, 1)
+// writeBodyAsync writes the body in a goroutine, which ends at the latest when the
+// connection is closed.
+func (x *exchange) writeBodyAsync(body []byte) {
+	x.bodyResult = make(chan error, 1)
 	go func() {
 		_, err := x.conn.Write(body)
-		x.written <- err
+		x.bodyResult <- err
 	}()
 }
 
-// writeHead writes the request line and the header, with the body's length in
-// place of the caller's framing.
+// writeHead writes the request line and the header. It replaces the caller's framing
+// headers by the length of the body.
 func (r *Request) writeHead(out *bytes.Buffer) error {
 	out.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	if len(r.Body) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead {
@@ -156,7 +158,7 @@
 	return nil
 }
 
-// readHead reads an answer's head and skips interim ones.
+// readHead reads a response head. It skips interim (1xx) responses other than 101.
 func readHead(r *bufio.Reader, method string) (*http.Response, error) {
 	for {
 		raw, err := http.ReadResponse(r, &http.Request{Method: method, URL: &url.URL{}})
@@ -174,79 +176,80 @@
 	return &Response{
 		Status:        raw.StatusCode,
 		Header:        raw.Header,
-		Body:          &body{exchange: x, from: raw.Body},
+		Body:          &body{exchange: x, source: raw.Body},
 		ContentLength: raw.ContentLength,
 		exchange:      x,
 	}
 }
 
-// body marks its exchange as broken when it can't be read to its end.
+// body reads the response body. It marks the exchange as not reusable if a read
+// fails before the end.
 type body struct {
 	exchange *exchange
-	from     io.Reader
-	ended    bool
+	source   io.Reader
+	sawEOF   bool
 }
 
 func (b *body) Read(p []byte) (int, error) {
-	n, err := b.from.Read(p)
+	n, err := b.source.Read(p)
 	if err == io.EOF {
-		b.ended = true
+		b.sawEOF = true
 		return n, err
 	}
 	if err != nil {
-		b.exchange.clean = false
+		b.exchange.reusable = false
 		err = errors.WithType(err, ErrBroken)
 	}
 	return n, err
 }
 
-// Close ends the exchange. The connection is kept only if the answer was read to
-// its end, nothing came behind it, the whole request was written before, and the
-// server wants to keep it.
+// Close ends the exchange. The connection returns to the pool only if the response
+// was read to its end, no data followed it, the whole request had been written, and
+// the server keeps the connection open.
 func (r *Response) Close() {
 	b, _ := r.Body.(*body)
-	r.exchange.end(b.ended)
+	r.exchange.finish(b.sawEOF)
 }
 
-func (x *exchange) end(whole bool) {
-	interrupted := !x.stop()
-	keep := whole && !interrupted && x.clean && x.bodyWritten() && x.raw != nil && !x.raw.Close && x.framed()
+func (x *exchange) finish(fullyRead bool) {
+	interrupted := !x.stopContextWatch()
+	keep := fullyRead && !interrupted && x.reusable && x.bodyFullyWritten() && x.raw != nil && !x.raw.Close && x.selfDelimited()
 	if !keep || x.conn.reader.Buffered() > 0 {
-		_ = x.conn.Close() // what is unread belongs to nobody
+		_ = x.conn.Close() // unread data belongs to no request
 		return
 	}
-	x.pool.put(x.address, x.conn, keepFor(x.raw.Header))
+	x.pool.put(x.address, x.conn, idleTimeout(x.raw.Header))
 }
 
-// framed reports whether the answer had an end of its own, other than that of the
-// connection.
-func (x *exchange) framed() bool {
+// selfDelimited reports whether the end of the response body is marked by a length
+// or by chunked encoding and not by the end of the connection.
+func (x *exchange) selfDelimited() bool {
 	return x.raw.ContentLength >= 0 || len(x.raw.TransferEncoding) > 0
 }
 
-func (x *exchange) bodyWritten() bool {
-	if x.written == nil {
+func (x *exchange) bodyFullyWritten() bool {
+	if x.bodyResult == nil {
 		return true
 	}
 	select {
-	case err := <-x.written:
+	case err := <-x.bodyResult:
 		return err == nil
 	default:
-		return false // the server answered early and still has to read the rest
+		return false // the server responded early and hasn't read the rest yet
 	}
 }
 
-// keepFor returns how long an idle connection may be used, from the server's
-// Keep-Alive header.
-func keepFor(h http.Header) time.Duration {
+// idleTimeout returns how long a connection may stay idle in the pool, from the
+// server's Keep-Alive header.
+func idleTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if seconds, err := strconv.Atoi(value); err == nil && seconds >= 0 {
-			return time.Duration(keepShare * float64(seconds) * float64(time.Second))
+			return time.Duration(keepAliveFraction * float64(seconds) * float64(time.Second))
 		}
 	}
-	return defaultKeep
+	return defaultMaxIdle
 }
--- a/upstream/exchange_test.go
+++ b/upstream/exchange_test.go
@@ -17,13 +17,13 @@
 	"github.com/briarturn/briarturn/internal/rawserver"
 )
 
-func any200(int, http.Header) bool { return true }
+func acceptAny(int, http.Header) bool { return true }
 
 func get() *Request {
-	return &Request{Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}, MatchesResponse: any200}
+	return &Request{Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}, MatchesResponse: acceptAny}
 }
 
-// do sends a request, reads the answer whole and returns it.
+// do sends a request and returns the complete body of the response.
 func do(t *testing.T, p *Pool, address string, r *Request) (string, error) {
 	t.Helper()
 	response, err := p.Do(t.Context(), address, r)
@@ -39,8 +39,9 @@
 	return metrics.GetOrRegisterCounter("upstream.connections.opened", r).Count()
 }
 
-// answerEach answers every request on a connection with a text.
-func answerEach(text string) func(net.Conn, *bufio.Reader) {
+// respondToEach returns a connection handler that writes text in response to every
+// request.
+func respondToEach(text string) func(net.Conn, *bufio.Reader) {
 	return func(conn net.Conn, in *bufio.Reader) {
 		for {
 			r, err := http.ReadRequest(in)
@@ -53,7 +54,7 @@
 	}
 }
 
-func TestConnectionsAreKept(t *testing.T) {
+func TestConnectionReuse(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
 		opened       int64
@@ -67,7 +68,7 @@
 	} {
 		r := metrics.NewRegistry()
 		p := NewPool(r)
-		address := rawserver.Start(t, answerEach(c.answer))
+		address := rawserver.Start(t, respondToEach(c.answer))
 		for range 3 {
 			if body, err := do(t, p, address, get()); err != nil || body != "ok" {
 				t.Fatalf("%s: %q, %v", c.name, body, err)
@@ -79,11 +80,9 @@
 	}
 }
 
-// Symptom: a torn answer is taken for a whole one.
-// Sequence: the server ends the connection before the answer's length or last
-// chunk.
-// Cause: an end of the connection isn't an end of the answer.
-func TestTornAnswersAreErrors(t *testing.T) {
+// Guards against accepting a truncated response as complete: the server closes the
+// connection before the announced length or the last chunk.
+func TestTruncatedResponsesAreErrors(t *testing.T) {
 	for _, answer := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
@@ -100,13 +99,13 @@
 	}
 }
 
-func TestNoAnswerIsBrokenAndNoConnectionIsNotSent(t *testing.T) {
+func TestMissingResponseIsBrokenAndFailedDialIsNotSent(t *testing.T) {
 	p := NewPool(metrics.NewRegistry())
 	silent := rawserver.Start(t, func(_ net.Conn, in *bufio.Reader) { _, _ = http.ReadRequest(in) })
 	if _, err := do(t, p, silent, get()); !errors.Is(err, ErrBroken) || errors.Is(err, ErrNotSent) {
 		t.Errorf("error %v", err)
 	}
-	garbage := rawserver.Start(t, answerEach("what?\r\n\r\n"))
+	garbage := rawserver.Start(t, respondToEach("what?\r\n\r\n"))
 	if _, err := do(t, p, garbage, get()); !errors.Is(err, ErrBroken) {
 		t.Errorf("error %v", err)
 	}
@@ -120,11 +119,11 @@
 	}
 }
 
-// Symptom: a server runs a request that nobody sent.
-// Sequence: it answers before it has read a long body, keeps the connection and
-// reads on; the next request goes out on it.
-// Cause: the rest of the body was never written, and what came next was read for it.
-func TestEarlyAnswerEndsTheConnection(t *testing.T) {
+// Guards against a server running a request that was never sent. The server responds
+// before it has read a long body and keeps reading from the connection; if the rest of
+// the body is never written and the connection is reused, the server reads the next
+// request as a part of that body.
+func TestEarlyResponseClosesTheConnection(t *testing.T) {
 	r := metrics.NewRegistry()
 	p := NewPool(r)
 	address := rawserver.Start(t, func(conn net.Conn, in *bufio.Reader) {
@@ -132,11 +131,11 @@
 			return
 		}
 		_, _ = io.WriteString(conn, "HTTP/1.1 413 Too Large\r\nContent-Length: 0\r\n\r\n")
-		<-time.After(50 * time.Millisecond) // it reads none of the body meanwhile
+		<-time.After(50 * time.Millisecond) // it reads none of the body in the meantime
 	})
 	long := &Request{
-		Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, MatchesResponse: any200,
-		Body: []byte(strings.Repeat("x", 32<<20)), // more than the sockets buffer
+		Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, MatchesResponse: acceptAny,
+		Body: []byte(strings.Repeat("x", 32<<20)), // more than the socket buffers hold
 	}
 	for range 2 {
 		if _, err := do(t, p, address, long); err != nil {
@@ -148,10 +147,9 @@
 	}
 }
 
-// Symptom: a request fails on a connection that the server had closed long ago.
-// Sequence: the server closes an idle connection; the next request goes out on it.
-// Cause: an idle connection isn't read, so that its end isn't seen.
-func TestClosedIdleConnectionsAreLeftAlone(t *testing.T) {
+// Guards against sending a request on an idle connection that the server has already
+// closed. Nothing reads an idle connection, so its end must be checked before reuse.
+func TestClosedIdleConnectionsAreNotReused(t *testing.T) {
 	p := NewPool(metrics.NewRegistry())
 	closed := make(chan struct{}, 2)
 	address := rawserver.Start(t, func(conn net.Conn, in *bufio.Reader) {
@@ -170,7 +168,7 @@
 	}
 }
 
-func TestEndOfTheContextClosesTheConnection(t *testing.T) {
+func TestContextCancelClosesTheConnection(t *testing.T) {
 	ended := make(chan struct{})
 	address := rawserver.Start(t, func(conn net.Conn, in *bufio.Reader) {
 		if _, err := http.ReadRequest(in); err != nil {
@@ -193,18 +191,18 @@
 	response.Close()
 }
 
-func TestKeepFor(t *testing.T) {
+func TestIdleTimeout(t *testing.T) {
 	for value, want := range map[string]time.Duration{
-		"": defaultKeep, "timeout=5": 3 * time.Second, "max=3, Timeout=10": 6 * time.Second, "timeout=x": defaultKeep,
+		"": defaultMaxIdle, "timeout=5": 3 * time.Second, "max=3, Timeout=10": 6 * time.Second, "timeout=x": defaultMaxIdle,
 	} {
-		if got := keepFor(http.Header{"Keep-Alive": {value}}); got != want {
+		if got := idleTimeout(http.Header{"Keep-Alive": {value}}); got != want {
 			t.Errorf("%q: %v, want %v", value, got, want)
 		}
 	}
 }
 
-// The head goes out as it came, but for the framing, which is the gateway's.
-func TestHeadOnTheWire(t *testing.T) {
+// Checks that the head is sent as received, except for the framing headers.
+func TestRequestHeadOnTheWire(t *testing.T) {
 	got := make(chan string, 1)
 	address := rawserver.Start(t, func(conn net.Conn, in *bufio.Reader) {
 		var head strings.Builder
@@ -219,7 +217,7 @@
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	})
 	r := &Request{
-		Method: http.MethodPost, Target: "/a%2Fb?c", Host: "h:1", Body: []byte("ab"), MatchesResponse: any200,
+		Method: http.MethodPost, Target: "/a%2Fb?c", Host: "h:1", Body: []byte("ab"), MatchesResponse: acceptAny,
 		Header: http.Header{"X-A": {"1"}, "Transfer-Encoding": {"chunked"}, "Content-Length": {"9"}},
 	}
 	if _, err := do(t, NewPool(metrics.NewRegistry()), address, r); err != nil {
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -11,24 +11,25 @@
 )
 
 const (
-	// DefaultDialTimeout bounds the opening of a connection. Zones are under a
-	// millisecond apart and a server takes a millisecond; a lost packet is sent
-	// again after a second, by when another server is the better choice.
+	// DefaultDialTimeout limits how long opening a connection may take. Zones are
+	// less than a millisecond apart and a server needs a millisecond; a lost packet
+	// is retransmitted after a second, when another server is the better choice.
 	DefaultDialTimeout = 400 * time.Millisecond
-	// defaultKeep is how long an idle connection is kept where the server does
-	// not say how long it keeps its end.
-	defaultKeep = 2 * time.Second
-	// keepShare of the server's own limit is how long an idle connection is used:
-	// one that the server closes just as a request goes out leaves it unknown
-	// whether the request ran.
-	keepShare = 0.6
-	// idlePerServer bounds the idle connections to one server. A server accepts some
-	// 370 of all entries, and 22 entries with eight each leave it half of them.
-	idlePerServer = 8
+	// defaultMaxIdle is how long an idle connection is kept if the server doesn't
+	// advertise a Keep-Alive timeout.
+	defaultMaxIdle = 2 * time.Second
+	// keepAliveFraction is the fraction of the server's Keep-Alive timeout for which
+	// an idle connection is kept. If the server closed a connection just as a request
+	// was sent on it, it would be unknown whether the request ran.
+	keepAliveFraction = 0.6
+	// maxIdlePerServer limits the idle connections to one server. A server accepts
+	// about 370 connections from all entries together; 22 entries with eight idle ones
+	// each leave it half of them.
+	maxIdlePerServer = 8
 )
 
-// Pool keeps idle connections by address. It is safe for concurrent use; mu
-// guards idle and is a leaf lock.
+// Pool opens connections to backend servers and keeps idle ones by address. It is
+// safe for concurrent use; mu guards idle and is a leaf lock.
 type Pool struct {
 	dialer net.Dialer
 	opened metrics.Counter
@@ -48,8 +49,8 @@
 	}
 }
 
-// get returns a connection to an address: the idle one that was used last, or a
-// new one. An error means that nothing was sent.
+// get returns a connection to an address: the most recently used idle one, or a new
+// one. An error means that nothing was sent.
 func (p *Pool) get(ctx context.Context, address string) (*conn, error) {
 	now := time.Now()
 	for {
@@ -57,11 +58,11 @@
 		if c == nil {
 			break
 		}
-		if now.Sub(c.idle) < c.keep && c.quiet() {
+		if now.Sub(c.idleSince) < c.maxIdle && c.reusable() {
 			p.reused.Inc(1)
 			return c, nil
 		}
-		_ = c.Close() // nothing of ours is on it
+		_ = c.Close() // no request is in progress on it
 	}
 	c, err := p.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -71,18 +72,20 @@
 	return newConn(c), nil
 }
 
-// Probe reports whether a server takes a new connection, which is kept for the
-// next request.
+// Probe reports whether a server accepts a new connection. The connection is kept
+// for the next request.
 func (p *Pool) Probe(ctx context.Context, address string) bool {
 	c, err := p.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return false
 	}
 	p.opened.Inc(1)
-	p.put(address, newConn(c), defaultKeep)
+	p.put(address, newConn(c), defaultMaxIdle)
 	return true
 }
 
+// pop takes the most recently used idle connection out of the pool. It returns nil
+// if there is none.
 func (p *Pool) pop(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,22 +98,22 @@
 	return c
 }
 
-// put takes a connection back whose exchange ended in good order.
-func (p *Pool) put(address string, c *conn, keep time.Duration) {
-	c.idle = time.Now()
-	c.keep = keep
+// put returns a connection to the pool after an exchange that ended cleanly.
+func (p *Pool) put(address string, c *conn, maxIdle time.Duration) {
+	c.idleSince = time.Now()
+	c.maxIdle = maxIdle
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
-	if len(list) >= idlePerServer {
+	if len(list) >= maxIdlePerServer {
 		_ = c.Close()
 		return
 	}
 	p.idle[address] = append(list, c)
 }
 
-// Sweep closes connections that were idle for too long, and all to addresses that
-// keep does not name.
+// Sweep closes connections that have been idle for too long, and all connections to
+// addresses for which keep returns false.
 func (p *Pool) Sweep(keep func(address string) bool) {
 	now := time.Now()
 	p.mu.Lock()
@@ -118,7 +121,7 @@
 	for address, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if keep(address) && now.Sub(c.idle) < c.keep {
+			if keep(address) && now.Sub(c.idleSince) < c.maxIdle {
 				kept = append(kept, c)
 				continue
 			}
