--- a/request/assembler.go
+++ b/request/assembler.go
@@ -7,44 +7,44 @@
 
 // Errors of an Assembler.
 const (
-	// ErrTooFarAhead: a chunk lies further ahead than the assembler may keep.
+	// ErrTooFarAhead means that an early chunk exceeds the buffer limits.
 	ErrTooFarAhead = errors.ConstError("chunk too far ahead")
-	// ErrIncomplete: the answer's end came before all its chunks.
+	// ErrIncomplete means that the answer ended before all its chunks arrived.
 	ErrIncomplete = errors.ConstError("answer incomplete")
-	// ErrOverrun: there are more chunks than the end announced.
+	// ErrOverrun means that there are more chunks than the end announced.
 	ErrOverrun = errors.ConstError("answer longer than announced")
 )
 
-var ivInOrder = invariant.New("request.chunks-in-order-once",
+var invariantChunkOrder = invariant.New("request.chunks-in-order-once",
 	"chunks reach the caller in order, each once")
 
-// AssemblerLimits bounds what an Assembler keeps of chunks that came early.
+// AssemblerLimits limits the early chunks that an Assembler buffers.
 type AssemblerLimits struct {
-	Chunks int // how many
-	Bytes  int // how much in all
+	Chunks int // maximum number of buffered chunks
+	Bytes  int // maximum total size of buffered chunks
 }
 
-// DefaultAssemblerLimits holds a second of a fast stream.
+// DefaultAssemblerLimits has room for one second of a fast stream.
 var DefaultAssemblerLimits = AssemblerLimits{Chunks: 256, Bytes: 1 << 20}
 
-// AssemblerCounts tells what an Assembler met.
+// AssemblerCounts counts the chunks that an Assembler received, by what became of them.
 type AssemblerCounts struct {
 	Delivered uint64 // chunks passed to the caller
-	Duplicate uint64 // dropped: already given or already kept
-	Stale     uint64 // dropped: of an attempt that has been given up
-	Buffered  uint64 // kept until their turn
+	Duplicate uint64 // dropped: already delivered or already buffered
+	Stale     uint64 // dropped: of an attempt other than the current one
+	Buffered  uint64 // arrived early and buffered
 }
 
-// Assembler puts the numbered chunks of one answer in order and passes each to
-// the caller once, whatever attempt it came from. It isn't safe for concurrent
-// use: one goroutine relays an answer.
+// Assembler puts the numbered chunks of one answer in order and delivers each to
+// the caller once, across all attempts. It isn't safe for concurrent use: one
+// goroutine relays an answer.
 type Assembler struct {
-	limits  AssemblerLimits
-	attempt uint32
-	next    uint64
-	early   map[uint64][]byte
-	bytes   int
-	counts  AssemblerCounts
+	limits        AssemblerLimits
+	attempt       uint32
+	next          uint64
+	buffered      map[uint64][]byte
+	bufferedBytes int
+	counts        AssemblerCounts
 }
 
 // NewAssembler returns an Assembler for one answer.
@@ -52,25 +52,25 @@
 	return &Assembler{limits: limits}
 }
 
-// NextSequence returns the number of the chunk that the caller needs next, which is
-// also how many it has.
+// NextSequence returns the sequence number of the next chunk to deliver, which is
+// also the number of chunks delivered.
 func (a *Assembler) NextSequence() uint64 { return a.next }
 
-// Counts returns what has been met so far.
+// Counts returns the counts so far.
 func (a *Assembler) Counts() AssemblerCounts { return a.counts }
 
-// StartAttempt makes attempt the one whose chunks count. Chunks kept from an earlier
-// attempt are dropped: another engine's wording may differ behind the point up
-// to which the caller has the answer.
+// StartAttempt makes attempt the current one; chunks of other attempts are dropped
+// from then on. Chunks buffered from an earlier attempt are dropped too, because
+// another engine may continue the answer with different text.
 func (a *Assembler) StartAttempt(attempt uint32) {
 	a.attempt = attempt
-	clear(a.early)
-	a.bytes = 0
+	clear(a.buffered)
+	a.bufferedBytes = 0
 }
 
-// Offer takes one chunk. It calls emit, in order, for each chunk whose turn has
-// come. Chunks of other attempts and doubled ones are counted and dropped. It
-// returns ErrTooFarAhead if the chunk is too far ahead to keep, and emit's error.
+// Offer adds one chunk and calls emit, in order, for each chunk that can now be
+// delivered. Chunks of other attempts and duplicates are counted and dropped. It
+// returns ErrTooFarAhead if the chunk doesn't fit into the buffer, or emit's error.
 func (a *Assembler) Offer(attempt uint32, sequence uint64, data []byte, emit func([]byte) error) error {
 	if attempt != a.attempt {
 		a.counts.Stale++
@@ -81,63 +81,65 @@
 		return nil
 	}
 	if sequence > a.next {
-		return a.keep(sequence, data)
+		return a.buffer(sequence, data)
 	}
-	if err := a.give(sequence, data, emit); err != nil {
+	if err := a.deliver(sequence, data, emit); err != nil {
 		return err
 	}
-	return a.giveKept(emit)
+	return a.deliverBuffered(emit)
 }
 
-// CheckComplete checks that the answer is whole, given the total its end announced.
+// CheckComplete returns an error unless exactly total chunks, the number announced
+// by the answer's end, were delivered.
 func (a *Assembler) CheckComplete(total uint64) error {
 	if a.next < total {
 		return errors.Annotatef(ErrIncomplete, "%d of %d chunks", a.next, total)
 	}
-	if a.next > total || len(a.early) > 0 {
-		return errors.Annotatef(ErrOverrun, "%d given, %d kept, %d announced", a.next, len(a.early), total)
+	if a.next > total || len(a.buffered) > 0 {
+		return errors.Annotatef(ErrOverrun, "%d delivered, %d buffered, %d announced", a.next, len(a.buffered), total)
 	}
 	return nil
 }
 
-// keep stores an early chunk. data is copied, since the caller's buffer is
-// reused for the next message.
-func (a *Assembler) keep(sequence uint64, data []byte) error {
-	if _, ok := a.early[sequence]; ok {
+// buffer stores an early chunk. It copies data, because the caller reuses its
+// buffer for the next message.
+func (a *Assembler) buffer(sequence uint64, data []byte) error {
+	if _, ok := a.buffered[sequence]; ok {
 		a.counts.Duplicate++
 		return nil
 	}
-	if len(a.early) >= a.limits.Chunks || a.bytes+len(data) > a.limits.Bytes {
-		return errors.Annotatef(ErrTooFarAhead, "chunk %d while %d is due", sequence, a.next)
+	if len(a.buffered) >= a.limits.Chunks || a.bufferedBytes+len(data) > a.limits.Bytes {
+		return errors.Annotatef(ErrTooFarAhead, "received chunk %d, next is %d", sequence, a.next)
 	}
-	if a.early == nil {
-		a.early = make(map[uint64][]byte)
+	if a.buffered == nil {
+		a.buffered = make(map[uint64][]byte)
 	}
-	a.early[sequence] = append([]byte(nil), data...)
-	a.bytes += len(data)
+	a.buffered[sequence] = append([]byte(nil), data...)
+	a.bufferedBytes += len(data)
 	a.counts.Buffered++
 	return nil
 }
 
-func (a *Assembler) giveKept(emit func([]byte) error) error {
-	for len(a.early) > 0 {
-		data, ok := a.early[a.next]
+// deliverBuffered delivers the buffered chunks that follow without a gap.
+func (a *Assembler) deliverBuffered(emit func([]byte) error) error {
+	for len(a.buffered) > 0 {
+		data, ok := a.buffered[a.next]
 		if !ok {
 			return nil
 		}
-		delete(a.early, a.next)
-		a.bytes -= len(data)
-		if err := a.give(a.next, data, emit); err != nil {
+		delete(a.buffered, a.next)
+		a.bufferedBytes -= len(data)
+		if err := a.deliver(a.next, data, emit); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (a *Assembler) give(sequence uint64, data []byte, emit func([]byte) error) error {
-	ivInOrder.Check(sequence == a.next, "chunk %d given while %d is due", sequence, a.next)
-	// Counted as given before emit: if emit fails half-way, the caller may have
-	// part of this chunk, and sending it again would give bytes twice.
+func (a *Assembler) deliver(sequence uint64, data []byte, emit func([]byte) error) error {
+	invariantChunkOrder.Check(sequence == a.next, "delivered chunk %d, next is %d", sequence, a.next)
+	// The chunk counts as delivered before emit: if emit fails halfway, the caller
+	// may have received a part of it, and sending it again would repeat bytes.
 	a.next++
 	a.counts.Delivered++
 	return emit(data)
--- a/request/broken_test.go
+++ b/request/broken_test.go
@@ -7,8 +7,8 @@
 	"github.com/briarturn/briarturn/invariant/invarianttest"
 )
 
-// Each invariant of the package notices a deliberately broken state.
-func TestBrokenStatesAreNoticed(t *testing.T) {
+// Checks that each invariant of the package detects a deliberately broken state.
+func TestInvariantsDetectBrokenStates(t *testing.T) {
 	now := time.Unix(1000, 0)
 	invarianttest.Violates(t, "request.one-final-answer", func() {
 		l := NewLifecycle(now.Add(time.Hour), now)
@@ -25,6 +25,6 @@
 	})
 	invarianttest.Violates(t, "request.chunks-in-order-once", func() {
 		a := NewAssembler(DefaultAssemblerLimits)
-		_ = a.give(3, nil, func([]byte) error { return nil })
+		_ = a.deliver(3, nil, func([]byte) error { return nil })
 	})
 }
--- a/request/example_test.go
+++ b/request/example_test.go
@@ -6,8 +6,8 @@
 	"github.com/briarturn/briarturn/request"
 )
 
-// Chunks come out of order, doubled, and late from an attempt that was given
-// up; the caller gets each once and in order.
+// Chunks arrive out of order, duplicated, and late from an abandoned attempt; the
+// caller receives each once and in order.
 func ExampleAssembler() {
 	answer := request.NewAssembler(request.DefaultAssemblerLimits)
 	emit := func(chunk []byte) error {
@@ -21,7 +21,7 @@
 	}
 	answer.StartAttempt(1)
 	offer(1, 0, "the ")
-	answer.StartAttempt(2) // the first attempt broke; this one resumes at NextSequence
+	answer.StartAttempt(2) // the first attempt failed; this one resumes at NextSequence
 	offer(1, 1, "late ")
 	offer(2, 2, "answer")
 	offer(2, 1, "whole ")
@@ -33,7 +33,7 @@
 	// <nil> 3 of 4 chunks: answer incomplete
 }
 
-// After a broken stream only an idempotent request is tried again.
+// After a broken stream, only an idempotent request is retried.
 func ExampleDecideRetry() {
 	names := map[request.RetryAction]string{
 		request.Fail: "fail", request.Retry: "another attempt", request.Resume: "resume",
--- a/request/life.go
+++ b/request/life.go
@@ -8,21 +8,21 @@
 	"github.com/juju/errors"
 )
 
-// ErrInvalidTransition is returned for a step that the life cycle doesn't have.
+// ErrInvalidTransition is returned for a transition that the life cycle doesn't allow.
 const ErrInvalidTransition = errors.ConstError("request life cycle: no such transition")
 
-// State is where a request is in its life.
+// State is a state in the life cycle of a request.
 type State uint8
 
 // States of a request. Finished and Failed are final.
 const (
 	Received   State = iota // parsed and valid
-	Admitted                // within its workspace's limits
-	Queued                  // waits for its turn
-	Dispatched              // an agent was asked; nothing has been given to the caller
-	Answering               // the caller has a part of the answer
-	Finished                // the caller has the whole answer
-	Failed                  // the caller has a refusal or an error
+	Admitted                // within the limits of its workspace
+	Queued                  // waiting for dispatch
+	Dispatched              // sent to an agent; the caller has received nothing
+	Answering               // the caller has received a part of the answer
+	Finished                // the caller has received the whole answer
+	Failed                  // the caller has received a refusal or an error
 	stateCount
 )
 
@@ -38,68 +38,68 @@
 	return "invalid"
 }
 
-// Final reports whether a request in this state has had its last answer.
+// Final reports whether a request in this state has received its final answer.
 func (s State) Final() bool { return s == Finished || s == Failed }
 
-// next lists the allowed steps. Dispatched leads back to Queued for a retry
-// that is safe; Answering never does, since the caller holds a part already.
-var next = [stateCount][]State{
+// allowedTransitions lists the valid next states. Dispatched may go back to Queued for
+// a safe retry; Answering may not, because the caller has a part of the answer.
+var allowedTransitions = [stateCount][]State{
 	Received:   {Admitted, Failed},
 	Admitted:   {Queued, Failed},
-	Queued:     {Dispatched, Finished, Failed}, // finished: replayed from a claim
+	Queued:     {Dispatched, Finished, Failed}, // Finished: answer replayed from a claim
 	Dispatched: {Queued, Answering, Finished, Failed},
 	Answering:  {Finished, Failed},
 }
 
 // Invariants of the life cycle.
 var (
-	ivOneEnd = invariant.New("request.one-final-answer",
+	invariantOneFinalAnswer = invariant.New("request.one-final-answer",
 		"a request gets one final answer, and none after it")
-	ivTrueNotRun = invariant.New("request.not-run-is-true",
+	invariantNotRunIsTrue = invariant.New("request.not-run-is-true",
 		"not_run is answered only while no attempt can have begun")
-	ivInTime = invariant.New("request.ends-by-deadline",
+	invariantEndsByDeadline = invariant.New("request.ends-by-deadline",
 		"a request ends no later than its deadline plus the grace")
 )
 
-// EndGrace is how long after its deadline a request's final answer may still be
-// on its way inside the process.
+// EndGrace is how long after the deadline of a request its final answer may still
+// be in progress inside the process.
 const EndGrace = 2 * time.Second
 
-// Lifecycle is the life of one request. It is safe for concurrent use; mu guards all
-// fields.
+// Lifecycle tracks the state of one request. It is safe for concurrent use; mu guards
+// all fields.
 type Lifecycle struct {
 	mu       sync.Mutex
 	state    State
 	deadline time.Time
 	attempts uint32
-	// mayHaveRun is set when an attempt's body is about to be sent and cleared
-	// only when that attempt's end proves that it didn't begin.
+	// mayHaveRun is set when the body of an attempt is about to be sent. It is
+	// cleared only when the end of that attempt proves that it didn't start.
 	mayHaveRun bool
 	changed    time.Time
 }
 
-// NewLifecycle starts the life of a request at Received.
+// NewLifecycle returns the Lifecycle of a request in state Received.
 func NewLifecycle(deadline, now time.Time) *Lifecycle {
 	return &Lifecycle{deadline: deadline, changed: now}
 }
 
-// State returns the present state.
+// State returns the current state.
 func (l *Lifecycle) State() State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state
 }
 
-// Transition takes one step. It returns ErrInvalidTransition, and leaves the state as it is,
-// where the life cycle has no such step.
+// Transition moves the request to a state. If the life cycle doesn't allow it, it
+// returns ErrInvalidTransition and leaves the state unchanged.
 func (l *Lifecycle) Transition(to State, now time.Time) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if to.Final() {
-		ivOneEnd.Check(!l.state.Final(), "from %s to %s", l.state, to)
-		ivInTime.Check(!now.After(l.deadline.Add(EndGrace)), "%s after the deadline in %s", now.Sub(l.deadline), l.state)
+		invariantOneFinalAnswer.Check(!l.state.Final(), "from %s to %s", l.state, to)
+		invariantEndsByDeadline.Check(!now.After(l.deadline.Add(EndGrace)), "%s after the deadline in %s", now.Sub(l.deadline), l.state)
 	}
-	for _, s := range next[l.state] {
+	for _, s := range allowedTransitions[l.state] {
 		if s == to {
 			l.state = to
 			l.changed = now
@@ -112,7 +112,7 @@
 // Expired reports whether the deadline has passed.
 func (l *Lifecycle) Expired(now time.Time) bool { return !now.Before(l.deadline) }
 
-// BeginAttempt numbers a new attempt, from 1.
+// BeginAttempt returns the number of a new attempt, starting at 1.
 func (l *Lifecycle) BeginAttempt() uint32 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,23 +120,24 @@
 	return l.attempts
 }
 
-// MarkMayHaveRun records that the present attempt may begin to run from now on. Call
-// it before the first byte of the body is sent.
+// MarkMayHaveRun records that the current attempt may start to run from now on. It
+// must be called before the first byte of the body is sent.
 func (l *Lifecycle) MarkMayHaveRun() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.mayHaveRun = true
 }
 
-// MarkNotRun records that the present attempt has ended and can't have begun.
-// earlier tells whether an earlier attempt may have run; then it stays so.
-func (l *Lifecycle) MarkNotRun(earlier bool) {
+// MarkNotRun records that the current attempt has ended and can't have started.
+// earlierMayHaveRun reports whether an earlier attempt may have run; if so, the
+// request may still have run.
+func (l *Lifecycle) MarkNotRun(earlierMayHaveRun bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.mayHaveRun = earlier
+	l.mayHaveRun = earlierMayHaveRun
 }
 
-// FailureCode returns what a failure at this moment may truthfully say.
+// FailureCode returns the code that a failure must have in the current state.
 func (l *Lifecycle) FailureCode() FailureCode {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -146,14 +147,15 @@
 	return NotRun
 }
 
-// CheckFailure asserts that a failure about to be answered claims no more than
-// is known, and weakens it to outcome_unknown where it does.
+// CheckFailure verifies that a failure about to be returned doesn't claim not_run
+// although an attempt may have run. If it does, the invariant is violated and
+// CheckFailure returns a copy with outcome_unknown.
 func (l *Lifecycle) CheckFailure(f *Failure) *Failure {
-	sure := l.FailureCode()
+	code := l.FailureCode()
 	if f.Code != NotRun {
 		return f
 	}
-	if ivTrueNotRun.Check(sure == NotRun, "reason %s", f.Reason) {
+	if invariantNotRunIsTrue.Check(code == NotRun, "reason %s", f.Reason) {
 		return f
 	}
 	weaker := *f
--- a/request/life_test.go
+++ b/request/life_test.go
@@ -11,21 +11,20 @@
 
 var t0 = time.Unix(1_000_000, 0)
 
-func TestLifeRefusesStepsItDoesNotHave(t *testing.T) {
+func TestLifecycleRejectsInvalidTransitions(t *testing.T) {
 	l := NewLifecycle(t0.Add(time.Minute), t0)
 	if err := l.Transition(Answering, t0); !errors.Is(err, ErrInvalidTransition) {
-		t.Fatalf("received to answering: got %v", err)
+		t.Fatalf("transition from received to answering: error %v", err)
 	}
 	if got := l.State(); got != Received {
-		t.Fatalf("state after a refused step: %s", got)
+		t.Fatalf("state after an invalid transition: %s", got)
 	}
 }
 
-// Symptom: a caller gets an error after its whole answer.
-// Sequence: the last chunk is relayed; the deadline fires at the same moment;
-// both paths end the request.
-// Cause: two owners of the final answer. The life cycle lets one of them win.
-func TestSecondFinalAnswerIsCaught(t *testing.T) {
+// Guards against a caller receiving an error after its complete answer. If the
+// deadline fires while the last chunk is relayed, both paths end the request; the
+// life cycle accepts only the first.
+func TestSecondFinalAnswerViolatesInvariant(t *testing.T) {
 	l := NewLifecycle(t0.Add(time.Minute), t0)
 	for _, s := range []State{Admitted, Queued, Dispatched, Answering, Finished} {
 		if err := l.Transition(s, t0); err != nil {
@@ -35,30 +34,28 @@
 	mustPanic(t, func() { _ = l.Transition(Failed, t0) })
 }
 
-// Symptom: "not run" is answered for a confirmation that was made.
-// Sequence: the body is sent; the answer is lost; an error path builds a
-// failure with not_run.
-// Cause: the path judged by its own step, not by what had been sent before.
-func TestUntrueNotRunIsCaught(t *testing.T) {
+// Guards against not_run being returned for a confirmation that was made. The body
+// was sent and the answer lost; an error path that considers only its own step, and
+// not what was sent before, then builds a failure with not_run.
+func TestFalseNotRunViolatesInvariant(t *testing.T) {
 	l := NewLifecycle(t0.Add(time.Minute), t0)
 	l.MarkMayHaveRun()
 	mustPanic(t, func() { l.CheckFailure(&Failure{Code: NotRun}) })
 	l.MarkNotRun(false)
 	if got := l.CheckFailure(&Failure{Code: NotRun}).Code; got != NotRun {
-		t.Fatalf("after proof: %s", got)
+		t.Fatalf("code after MarkNotRun: %s", got)
 	}
 }
 
-func TestLateEndIsCaught(t *testing.T) {
+func TestLateEndViolatesInvariant(t *testing.T) {
 	l := NewLifecycle(t0, t0)
 	mustPanic(t, func() { _ = l.Transition(Failed, t0.Add(EndGrace+1)) })
 }
 
-// Symptom: a caller's text has a piece twice, or lacks one.
-// Sequence: chunks arrive doubled, out of order and from an attempt that was
-// given up, while a later attempt resumes behind what was given.
-// Cause: chunks taken in the order of arrival instead of their numbers.
-func TestAssemblerGivesEachChunkOnceInOrder(t *testing.T) {
+// Guards against repeated or missing chunks in a caller's text. Chunks arrive
+// duplicated, out of order and from an abandoned attempt while a later attempt
+// resumes; delivering them in order of arrival would corrupt the answer.
+func TestAssemblerDeliversEachChunkOnceInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := uint64(rapid.IntRange(1, 40).Draw(t, "total"))
 		asm := NewAssembler(DefaultAssemblerLimits)
@@ -70,7 +67,7 @@
 		for attempt := uint32(1); asm.NextSequence() < total; attempt++ {
 			asm.StartAttempt(attempt)
 			reach := rapid.Uint64Range(asm.NextSequence(), total).Draw(t, "reach")
-			offers := rapid.Permutation(numbers(asm.NextSequence(), reach)).Draw(t, "order")
+			offers := rapid.Permutation(sequencesWithDuplicates(asm.NextSequence(), reach)).Draw(t, "order")
 			for _, n := range offers {
 				from := attempt
 				if rapid.IntRange(0, 4).Draw(t, "stale") == 0 {
@@ -94,7 +91,7 @@
 	})
 }
 
-func numbers(from, to uint64) []uint64 {
+func sequencesWithDuplicates(from, to uint64) []uint64 {
 	var out []uint64
 	for n := from; n < to; n++ {
 		out = append(out, n)
@@ -105,10 +102,10 @@
 	return out
 }
 
-func TestAssemblerBoundsWhatItKeeps(t *testing.T) {
+func TestAssemblerLimitsBufferedChunks(t *testing.T) {
 	asm := NewAssembler(AssemblerLimits{Chunks: 2, Bytes: 100})
 	asm.StartAttempt(1)
-	none := func([]byte) error { t.Fatal("nothing is due"); return nil }
+	none := func([]byte) error { t.Fatal("a chunk was delivered out of order"); return nil }
 	for n := uint64(1); n <= 2; n++ {
 		if err := asm.Offer(1, n, []byte("x"), none); err != nil {
 			t.Fatal(err)
@@ -118,14 +115,14 @@
 		t.Fatalf("third early chunk: %v", err)
 	}
 	if err := asm.CheckComplete(4); !errors.Is(err, ErrIncomplete) {
-		t.Fatalf("cut answer: %v", err)
+		t.Fatalf("truncated answer: %v", err)
 	}
 }
 
-// Every row of the table in DecideRetry, and the two things that must hold in all of
-// them: nothing non-idempotent is sent twice, and not_run is said only where
-// nothing began.
-func TestRetryTable(t *testing.T) {
+// Checks every row of the table in DecideRetry, and two rules that hold in all of
+// them: nothing non-idempotent is sent twice, and not_run is returned only if nothing
+// started.
+func TestDecideRetryTable(t *testing.T) {
 	for n := range 1 << 7 {
 		s := AttemptOutcome{
 			Idempotent: n&1 != 0, Refused: n&2 != 0, Sent: n&4 != 0, FirstByte: n&8 != 0,
@@ -137,24 +134,24 @@
 			t.Errorf("%+v: may run twice: %+v", s, v)
 		}
 		if began && v.FailureCode == NotRun {
-			t.Errorf("%+v: untrue not_run", s)
+			t.Errorf("%+v: false not_run", s)
 		}
 		if s.FirstByte && v.Action == Retry && began {
-			t.Errorf("%+v: bytes would be given twice", s)
+			t.Errorf("%+v: bytes would be delivered twice", s)
 		}
 		if (s.Deadline || s.Rejected) && v.Action != Fail {
-			t.Errorf("%+v: goes on: %+v", s, v)
+			t.Errorf("%+v: does not fail: %+v", s, v)
 		}
 		if !began && !s.FirstByte && !s.Deadline && !s.Rejected && v.Action != Retry {
-			t.Errorf("%+v: a safe retry is not used", s)
+			t.Errorf("%+v: safe retry not made", s)
 		}
 	}
 }
 
-// Symptom: an engine outage becomes a fleet outage.
-// Sequence: each request fails and is retried; load doubles; more fail.
-// Cause: retries bounded a request, not in all.
-func TestBudgetBoundsRetriesUnderOutage(t *testing.T) {
+// Guards against an engine outage becoming a fleet outage: if retries are bounded only
+// for each request and not in total, every failed request is retried, the load
+// doubles, and more requests fail.
+func TestRetryBudgetBoundsRetriesDuringOutage(t *testing.T) {
 	b := NewRetryBudget(RetryBudgetOptions{Ratio: 0.2, Burst: 5, MinPerSecond: 1})
 	retries := 0
 	const requests = 1000
@@ -169,7 +166,7 @@
 		t.Fatalf("%d retries for %d requests, want at most %d", retries, requests, most)
 	}
 	if retries < requests/5 {
-		t.Fatalf("%d retries: the budget gives less than its share", retries)
+		t.Fatalf("%d retries: the budget allows less than its ratio", retries)
 	}
 }
 
@@ -177,7 +174,7 @@
 	t.Helper()
 	defer func() {
 		if recover() == nil {
-			t.Fatal("the invariant did not catch it")
+			t.Fatal("the invariant did not panic")
 		}
 	}()
 	f()
--- a/request/request.go
+++ b/request/request.go
@@ -1,13 +1,13 @@
-// Package request is the aggregate of one caller's request: what it asks for,
-// its life from arrival to the final answer, its attempts, and the assembly of
-// its answer. It does no I/O.
+// Package request models one caller's request: its content, its life cycle from
+// arrival to the final answer, the retry decision after each attempt, and the
+// assembly of its answer. It does no I/O.
 package request
 
 import (
 	"time"
 )
 
-// Kind is what a request asks for.
+// Kind is the type of a request.
 type Kind uint8
 
 // Kinds of request.
@@ -17,7 +17,7 @@
 	KindService
 )
 
-// Class is a length class by prompt tokens.
+// Class is the length class of a request, by the number of its prompt tokens.
 type Class uint8
 
 // Length classes. The upper bounds are 4k, 32k and 100k tokens.
@@ -64,7 +64,7 @@
 	return "unknown"
 }
 
-// Spec is what the caller asked for. It does not change after admission.
+// Spec is a parsed request. It does not change after admission.
 type Spec struct {
 	ID             string
 	Kind           Kind
@@ -73,55 +73,55 @@
 	Adapter        string
 	Service        string // KindService
 	Method         string // KindService
-	Path           string // KindService: path behind /services/NAME, with query
+	Path           string // KindService: path after /services/NAME, with query
 	Headers        map[string]string
 	Body           []byte
 	Stream         bool
 	Idempotent     bool
 	IdempotencyKey string // idempotency key; empty if none
-	FirstSend      bool   // by the caller's word, nothing was sent under the key before
-	Priority       int32  // of its service class; lower is sooner
+	FirstSend      bool   // the caller states that nothing was sent under the key before
+	Priority       int32  // of its service class; lower values are served first
 	Arrived        time.Time
 	Deadline       time.Time
-	// PromptTokens and MaxTokens are estimates until the engine reports.
+	// PromptTokens and MaxTokens are estimates until the engine reports the counts.
 	PromptTokens int64
 	MaxTokens    int64
-	// Fingerprint identifies the content (xxhash64 of model, adapter and body)
-	// for the quarantine; it is equal across resends.
+	// Fingerprint identifies the content (xxhash64 of model, adapter and body) for
+	// the quarantine. A resent request has the same fingerprint.
 	Fingerprint uint64
-	// PrefixHashes holds rolling hashes of the prompt's blocks, for cache affinity.
+	// PrefixHashes are rolling hashes of the prompt's blocks, used for cache affinity.
 	PrefixHashes []uint64
 }
 
 // Class returns the request's length class.
 func (s *Spec) Class() Class { return ClassOf(s.PromptTokens) }
 
-// FailureCode says what a failure implies about execution.
+// FailureCode states whether a failed request may have been executed.
 type FailureCode string
 
-// The only two things that a failure may say.
+// The failure codes. There are no others.
 const (
 	NotRun         FailureCode = "not_run"
 	OutcomeUnknown FailureCode = "outcome_unknown"
 )
 
-// HTTP statuses of refusals, for packages that do no I/O: net/http would bring
-// its server and client into every program that embeds them.
+// HTTP status codes of refusals, for packages that do no I/O: importing net/http
+// would link its server and client into every program that embeds them.
 const (
 	StatusTooManyRequests    = 429 // RFC 6585
 	StatusServiceUnavailable = 503 // RFC 9110
 )
 
 // Failure is the final answer of a request that did not finish. Its fields are
-// what the caller sees.
+// returned to the caller.
 type Failure struct {
 	Code       FailureCode
-	Reason     string // a stable word: draining, deadline, quota, quarantined, ...
+	Reason     string // stable identifier: draining, deadline, quota, quarantined, ...
 	Message    string
 	Status     int           // HTTP status
-	RetryAfter time.Duration // zero if asking again is of no use
-	Step       string        // where it arose
-	Peer       string        // with whom
+	RetryAfter time.Duration // zero if retrying doesn't help
+	Step       string        // processing step that failed
+	Peer       string        // other side of that step
 }
 
 // Error implements error.
--- a/request/retry.go
+++ b/request/retry.go
@@ -7,48 +7,50 @@
 	"golang.org/x/time/rate"
 )
 
-// AttemptOutcome is how an attempt ended, as far as the entry knows.
+// AttemptOutcome describes how an attempt ended, as observed by the entry.
 type AttemptOutcome struct {
 	Idempotent bool // the request may run more than once
-	Refused    bool // the agent refused, or an end proved that nothing began
+	Refused    bool // the agent refused, or the end of the attempt proved that nothing started
 	Sent       bool // the body, or a part of it, was sent
-	FirstByte  bool // the caller has a part of the answer
-	EngineDead bool // the agent says that the engine died
-	Rejected   bool // the engine answered with an error that another would give too
-	Deadline   bool // the time limit has passed
+	FirstByte  bool // the caller has received a part of the answer
+	EngineDead bool // the agent reported that the engine died
+	Rejected   bool // the engine returned an error that any other engine would return too
+	Deadline   bool // the deadline has passed
 }
 
-// RetryAction is what to do after an attempt has ended without an answer.
+// RetryAction is the next step after an attempt that ended without an answer.
 type RetryAction uint8
 
-// Actions.
+// Retry actions.
 const (
-	Fail   RetryAction = iota // answer the caller now
-	Retry                     // another attempt from the start, on another server
-	Resume                    // another attempt behind the last chunk given
+	Fail   RetryAction = iota // return a failure to the caller
+	Retry                     // start a new attempt from the beginning, on another server
+	Resume                    // start a new attempt after the last delivered chunk
 )
 
-// RetryDecision is an action with what a failure may say.
+// RetryDecision is an action and the code of a failure.
 type RetryDecision struct {
 	Action      RetryAction
-	FailureCode FailureCode // for Fail, and for the case that no retry can be had
-	// Suspect: the request was running when an engine died, so that it may have
-	// killed it and must not be tried beside others.
+	FailureCode FailureCode // used for Fail, and if no retry is possible
+	// Suspect is set if the request was sent to an engine that died. It may have
+	// caused the crash and must not run together with other requests.
 	Suspect bool
 }
 
-// DecideRetry is the table of safe retries:
+// DecideRetry returns the action and failure code from the table of safe retries:
 //
-//	| refused | sent | idempotent | first byte | → |
-//	| yes     | any  | any        | no         | another attempt; not_run
-//	| no      | no   | any        | no         | another attempt; not_run
+//	| refused | sent | idempotent | first byte | action; failure code
+//	| yes     | any  | any        | no         | retry; not_run
+//	| yes     | any  | any        | yes        | resume; outcome_unknown
+//	| no      | no   | any        | any        | retry; not_run
 //	| no      | yes  | no         | any        | fail; outcome_unknown
-//	| no      | yes  | yes        | no         | another attempt; outcome_unknown
+//	| no      | yes  | yes        | no         | retry; outcome_unknown
 //	| no      | yes  | yes        | yes        | resume; outcome_unknown
 //
-// Past the deadline, or if the engine rejected the request itself, it fails in
-// every row. A lost answer is the same as a broken stream: after a body was sent
-// nothing tells the two apart.
+// After the deadline, or if the engine rejected the request itself, the action is
+// fail in every row.
+// A lost answer and a broken stream are treated alike, because after the body was
+// sent they can't be distinguished.
 func DecideRetry(s AttemptOutcome) RetryDecision {
 	v := RetryDecision{FailureCode: OutcomeUnknown, Suspect: s.EngineDead && s.Sent}
 	if s.Refused || !s.Sent {
@@ -59,7 +61,7 @@
 	}
 	switch {
 	case s.Refused && s.FirstByte:
-		// A resume was refused: the earlier attempt did run.
+		// A resume was refused: the earlier attempt has run.
 		v.FailureCode = OutcomeUnknown
 		v.Action = Resume
 	case v.FailureCode == NotRun:
@@ -74,47 +76,49 @@
 	return v
 }
 
-// RetryBudget bounds retries of one workspace to a share of its requests, so that an
-// outage isn't multiplied: when every attempt fails, load grows by that share
-// and no more. Each request earns a part of a retry; each retry spends one.
+// RetryBudget limits the retries of one workspace to a fraction of its requests, so
+// that retries don't amplify an outage: if every attempt fails, the load grows by at
+// most that fraction. Each request adds a fraction of a retry; each retry uses one.
 type RetryBudget struct {
-	mu    sync.Mutex // guards tokens
-	share float64
-	cap   float64
-	have  float64
-	floor *rate.Limiter
+	mu         sync.Mutex // guards balance
+	ratio      float64
+	maxBalance float64
+	balance    float64
+	minRate    *rate.Limiter
 }
 
 // RetryBudgetOptions configures a RetryBudget.
 type RetryBudgetOptions struct {
-	Ratio        float64 // retries a request earns, 0 to 1
-	Burst        float64 // most that may be saved up
-	MinPerSecond float64 // retries allowed in any case, so that a quiet workspace has some
+	Ratio float64 // retries added per request, 0 to 1
+	Burst float64 // maximum number of retries that can accumulate
+	// MinPerSecond is the number of retries per second that are allowed with an empty
+	// balance, so that a workspace with few requests can retry.
+	MinPerSecond float64
 }
 
-// DefaultRetryBudget lets retries add a fifth to the load.
+// DefaultRetryBudget allows retries to add a fifth to the load.
 var DefaultRetryBudget = RetryBudgetOptions{Ratio: 0.2, Burst: 20, MinPerSecond: 1}
 
 // NewRetryBudget returns a full RetryBudget.
 func NewRetryBudget(o RetryBudgetOptions) *RetryBudget {
-	floor := rate.NewLimiter(rate.Limit(o.MinPerSecond), max(1, int(o.MinPerSecond)))
-	return &RetryBudget{share: o.Ratio, cap: o.Burst, have: o.Burst, floor: floor}
+	minRate := rate.NewLimiter(rate.Limit(o.MinPerSecond), max(1, int(o.MinPerSecond)))
+	return &RetryBudget{ratio: o.Ratio, maxBalance: o.Burst, balance: o.Burst, minRate: minRate}
 }
 
-// RecordRequest credits one request.
+// RecordRequest adds RetryBudgetOptions.Ratio to the balance, for one request.
 func (b *RetryBudget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.have = min(b.cap, b.have+b.share)
+	b.balance = min(b.maxBalance, b.balance+b.ratio)
 }
 
-// TryWithdraw takes one retry and reports whether there was one.
+// TryWithdraw uses one retry and reports whether one was available.
 func (b *RetryBudget) TryWithdraw(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.have >= 1 {
-		b.have--
+	if b.balance >= 1 {
+		b.balance--
 		return true
 	}
-	return b.floor.AllowN(now, 1)
+	return b.minRate.AllowN(now, 1)
 }
