--- a/workspace/bench_test.go
+++ b/workspace/bench_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// BenchmarkSubmit measures one Submit and Release in a pool with room, beside
-// workspaces that wait: one request each, for a slot that their limit denies.
+// BenchmarkSubmit measures one Submit and Release in a pool with free slots while
+// other workspaces wait, each with one request held back by its concurrency limit.
 func BenchmarkSubmit(b *testing.B) {
 	for _, n := range []int{10, 540} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
--- a/workspace/broken_test.go
+++ b/workspace/broken_test.go
@@ -8,8 +8,8 @@
 	"github.com/briarturn/briarturn/request"
 )
 
-// The invariant of the package notices a request that is released twice.
-func TestBrokenStatesAreNoticed(t *testing.T) {
+// Checks that the package's invariant detects a request that is released twice.
+func TestInvariantsDetectBrokenStates(t *testing.T) {
 	invarianttest.Violates(t, "workspace.scheduler.counts", func() {
 		s := NewScheduler(Options{})
 		s.SetCapacity("p", request.ClassShort, Capacity{Slots: 8})
--- a/workspace/example_test.go
+++ b/workspace/example_test.go
@@ -8,8 +8,9 @@
 	"github.com/briarturn/briarturn/workspace"
 )
 
-// A request waits for its turn, holds a ticket while it runs, and gives it back
-// with the tokens that it used. A rate limit refuses with a true not_run.
+// A request waits until it may be dispatched, holds a ticket while it runs, and
+// releases it with the number of tokens used. The rate limit refuses the second
+// request with not_run.
 func ExampleScheduler() {
 	s := workspace.NewScheduler(workspace.Options{})
 	s.SetCapacity("briar-pool", request.ClassShort, workspace.Capacity{Slots: 8})
--- a/workspace/item.go
+++ b/workspace/item.go
@@ -7,30 +7,32 @@
 	"github.com/briarturn/briarturn/request"
 )
 
-// Item is a request that asks to be dispatched.
+// Item describes a request to be dispatched.
 type Item struct {
 	Workspace        string
 	Pool             string
 	Class            request.Class
-	Cost             int64         // tokens, prompt and expected output
-	PrefillTokens    int64         // the prompt's part of Cost
-	ExpectedDuration time.Duration // from dispatch to the end, as estimated
+	Cost             int64         // prompt and expected output tokens
+	PrefillTokens    int64         // prompt tokens; part of Cost
+	ExpectedDuration time.Duration // estimated time from dispatch to the end
 	Deadline         time.Time     // zero: none
-	// Priority orders a workspace's requests that wait: each step lets those go
-	// first that come up to priorityStep later. Lower is sooner.
+	// Priority orders the waiting requests of a workspace; lower values start
+	// first. A request whose value is lower by one may arrive up to priorityStep
+	// later and still start first.
 	Priority int32
 }
 
-// agingFactor is how many times its expected duration a request may be
-// overtaken by later ones: one of a second waits behind at most four seconds of
-// later arrivals.
+// agingFactor limits how long after its arrival other requests may still overtake a
+// request, as a multiple of its expected duration: a request of one second waits
+// behind arrivals of at most the four seconds after it.
 const agingFactor = 4
 
-// priorityStep is what one step of priority is worth. It is finite, so that no
-// request waits for ever behind those of a sooner class.
+// priorityStep is the delay in the queue order that one step of priority adds. It is
+// finite, so that a steady stream of requests with a higher priority can't starve
+// others.
 const priorityStep = 100 * time.Millisecond
 
-// state of a waiting item.
+// state is the state of a waiter.
 type state uint8
 
 const (
@@ -39,31 +41,31 @@
 	refused
 )
 
-// waiter is an Item in a queue. Scheduler.mu guards it, but for done, which is
-// closed when state leaves waiting.
+// waiter is an Item in a queue. Scheduler.mu guards all fields but done, which is
+// closed when state changes from waiting.
 type waiter struct {
 	Item
-	order   time.Time // sooner goes first
-	number  uint64    // of arrival, among those of equal order
-	ends    time.Time // when it is expected to end, once granted
-	index   int       // in its flow's heap
-	state   state
-	failure *request.Failure
-	done    chan struct{}
-	flow    *flow
+	orderTime   time.Time // position in the flow; earlier times start first
+	arrival     uint64    // sequence number; breaks ties of orderTime
+	expectedEnd time.Time // set when dispatched
+	index       int       // in the heap of its flow
+	state       state
+	failure     *request.Failure
+	done        chan struct{}
+	flow        *flow
 }
 
-func newWaiter(it Item, number uint64, now time.Time) *waiter {
-	w := &waiter{Item: it, number: number, done: make(chan struct{})}
-	w.order = now.Add(agingFactor*it.ExpectedDuration + time.Duration(it.Priority)*priorityStep)
-	if start := w.latestStart(); !start.IsZero() && start.Before(w.order) {
-		w.order = start
+func newWaiter(it Item, arrival uint64, now time.Time) *waiter {
+	w := &waiter{Item: it, arrival: arrival, done: make(chan struct{})}
+	w.orderTime = now.Add(agingFactor*it.ExpectedDuration + time.Duration(it.Priority)*priorityStep)
+	if start := w.latestStart(); !start.IsZero() && start.Before(w.orderTime) {
+		w.orderTime = start
 	}
 	return w
 }
 
-// latestStart is when the item must be dispatched to end in time; zero if it
-// has no deadline.
+// latestStart returns the latest dispatch time at which the item is expected to meet
+// its deadline; zero if it has no deadline.
 func (w *waiter) latestStart() time.Time {
 	if w.Deadline.IsZero() {
 		return time.Time{}
@@ -71,26 +73,26 @@
 	return w.Deadline.Add(-w.ExpectedDuration)
 }
 
-// before says whether w starts before v if both wait in one flow.
-func (w *waiter) before(v *waiter) bool {
-	if !w.order.Equal(v.order) {
-		return w.order.Before(v.order)
+// startsBefore reports whether w starts before v if both wait in the same flow.
+func (w *waiter) startsBefore(v *waiter) bool {
+	if !w.orderTime.Equal(v.orderTime) {
+		return w.orderTime.Before(v.orderTime)
 	}
-	return w.number < v.number
+	return w.arrival < v.arrival
 }
 
-// settle ends the waiting.
-func (w *waiter) settle(s state, f *request.Failure) {
+// resolve sets the final state and wakes the goroutine that waits for it.
+func (w *waiter) resolve(s state, f *request.Failure) {
 	w.state = s
 	w.failure = f
 	close(w.done)
 }
 
-// waiters is a heap by order.
+// waiters is a heap ordered by startsBefore.
 type waiters []*waiter
 
 func (h waiters) Len() int           { return len(h) }
-func (h waiters) Less(i, j int) bool { return h[i].before(h[j]) }
+func (h waiters) Less(i, j int) bool { return h[i].startsBefore(h[j]) }
 func (h waiters) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i, j
--- a/workspace/policy.go
+++ b/workspace/policy.go
@@ -5,34 +5,36 @@
 	"time"
 )
 
-// Policy is what one workspace may use. Zero limits mean no limit.
+// Policy holds the limits of one workspace. A zero limit means no limit.
 type Policy struct {
-	Weight          float64 // share of tokens against other workspaces; zero means 1
-	TokensPerSecond float64 // over all entries
-	BurstTokens     float64 // over all entries; zero means ten seconds' worth
-	Concurrency     int     // requests in progress, over all entries
+	Weight          float64 // relative share of tokens among workspaces; zero means 1
+	TokensPerSecond float64 // across all entries
+	BurstTokens     float64 // across all entries; zero means ten seconds of TokensPerSecond
+	Concurrency     int     // requests in progress, across all entries
 	MaxQueue        int     // requests waiting at one entry; zero means DefaultMaxQueue
 	RetryRatio      float64 // retries per request; zero means DefaultRetryRatio, NoRetries none
 }
 
 const (
-	// DefaultMaxQueue bounds the requests of one workspace that wait at an
-	// entry.
+	// DefaultMaxQueue is the default limit on the requests of one workspace that
+	// wait at one entry.
 	DefaultMaxQueue = 1_024
-	// DefaultRetryRatio lets one request in ten be retried, so that an outage
-	// makes at most a tenth more load.
+	// DefaultRetryRatio allows one retry per ten requests, so that retries during an
+	// outage add at most a tenth to the load.
 	DefaultRetryRatio = 0.1
-	// NoRetries as Policy.RetryRatio allows no retry at all.
+	// NoRetries is the value of Policy.RetryRatio that disables retries.
 	NoRetries = -1.0
-	// ShareHeadroom multiplies an entry's equal share of a limit, because the
-	// balancer doesn't spread a workspace's requests evenly. The limit may be
-	// exceeded by this factor when all entries use their shares up.
+	// ShareHeadroom is the factor by which an entry's share of a limit exceeds an
+	// equal share, because the load balancer doesn't distribute the requests of a
+	// workspace evenly. If all entries use their full shares, the limit is exceeded
+	// by this factor.
 	ShareHeadroom = 1.2
 
 	defaultBurst = 10 * time.Second
-	// retryBurst is how many retries a workspace may save up. An engine that dies takes
-	// all its prompts with it, 16 on a usual one, and an entry may have sent them all;
-	// with 10, six of 16 innocent prompts failed. Two engines may die at a time.
+	// retryBurst is the maximum number of retries that a workspace can accumulate. When
+	// an engine dies, all its prompts fail, usually 16, and one entry may have sent all
+	// of them; with a burst of 10, six of 16 prompts that had not caused the crash
+	// failed. The value covers two engines that die at the same time.
 	retryBurst = 32
 )
 
@@ -52,32 +54,33 @@
 	return p
 }
 
-// share returns an entry's part of a limit that holds over all entries.
-func share(limit float64, entries int) float64 {
+// entryShare returns one entry's share of a limit that holds across all entries.
+func entryShare(limit float64, entries int) float64 {
 	if entries <= 1 {
 		return limit
 	}
 	return limit * min(1, ShareHeadroom/float64(entries))
 }
 
-// concurrencyShare is share for whole requests, at least one.
-func concurrencyShare(limit, entries int) int {
+// entryConcurrency returns one entry's share of a concurrency limit, at least one.
+func entryConcurrency(limit, entries int) int {
 	if limit <= 0 {
 		return math.MaxInt
 	}
-	return max(1, int(math.Ceil(share(float64(limit), entries))))
+	return max(1, int(math.Ceil(entryShare(float64(limit), entries))))
 }
 
-// bucket is a token bucket that may go into debt: a request is let through
-// while the balance is positive and then paid for in full. A plain bucket could
-// never pass a request that is larger than its burst.
-type bucket struct {
+// tokenBucket is a token bucket whose balance may become negative: a request passes
+// while the balance is positive, and its full cost is then subtracted. A plain token
+// bucket would never pass a request that is larger than its burst.
+type tokenBucket struct {
 	balance float64
-	at      time.Time
+	updated time.Time
 }
 
-// take pays cost if the balance is positive, else returns the time until it is.
-func (b *bucket) take(cost, rate, burst float64, now time.Time) (wait time.Duration, ok bool) {
+// take subtracts cost if the balance is positive. Otherwise it returns the time until
+// the balance is positive again.
+func (b *tokenBucket) take(cost, rate, burst float64, now time.Time) (wait time.Duration, ok bool) {
 	b.refill(rate, burst, now)
 	if b.balance <= 0 {
 		return time.Duration((1 - b.balance) / rate * float64(time.Second)), false
@@ -86,14 +89,14 @@
 	return 0, true
 }
 
-func (b *bucket) refill(rate, burst float64, now time.Time) {
-	if b.at.IsZero() {
+func (b *tokenBucket) refill(rate, burst float64, now time.Time) {
+	if b.updated.IsZero() {
 		b.balance = burst
-		b.at = now
+		b.updated = now
 		return
 	}
-	if now.After(b.at) {
-		b.balance = min(burst, b.balance+rate*now.Sub(b.at).Seconds())
-		b.at = now
+	if now.After(b.updated) {
+		b.balance = min(burst, b.balance+rate*now.Sub(b.updated).Seconds())
+		b.updated = now
 	}
 }
--- a/workspace/property_test.go
+++ b/workspace/property_test.go
@@ -11,9 +11,9 @@
 	"github.com/briarturn/briarturn/request"
 )
 
-// While two workspaces are backlogged, the tokens dispatched for each, divided
-// by its weight, differ by at most what one largest request of each brings
-// (the bound of start-time fair queueing).
+// Checks the bound of start-time fair queueing: while two workspaces are backlogged,
+// the tokens dispatched for each, divided by its weight, differ by at most one
+// largest request of each.
 func TestSharesFollowWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const largest = 1000
@@ -24,7 +24,7 @@
 		}
 		s := NewScheduler(Options{})
 		s.SetCapacity("p", request.ClassShort, Capacity{})
-		q := s.queues[lane{pool: "p"}]
+		q := s.queues[queueKey{pool: "p"}]
 		for name, weight := range weights {
 			s.SetPolicy(name, Policy{Weight: weight, MaxQueue: math.MaxInt})
 			for range 200 {
@@ -36,7 +36,7 @@
 		}
 		tokens := map[string]float64{}
 		for range 100 {
-			f := q.least()
+			f := q.nextFlow()
 			w := f.start(time.Now())
 			tokens[w.Workspace] += float64(w.Cost) / weights[w.Workspace]
 			checkShares(t, tokens, weights, largest)
@@ -55,8 +55,8 @@
 	}
 }
 
-// No slot is free while a request waits whose workspace may run more, and no
-// limit is exceeded, whatever comes and goes.
+// Checks that, for random arrivals and releases, no slot is free while a request
+// waits whose workspace may run more, and that no limit is exceeded.
 func TestWorkConservingWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(0, 4).Draw(t, "slots")
@@ -77,7 +77,7 @@
 			}
 			for _, w := range all {
 				if w.state == granted {
-					started = append(started, Ticket{&grant{s: s, w: w}})
+					started = append(started, Ticket{&grant{scheduler: s, waiter: w}})
 				}
 			}
 			all = stillWaiting(all)
@@ -97,22 +97,22 @@
 }
 
 func checkQueue(t *rapid.T, s *Scheduler, slots int) {
-	q := s.queues[lane{pool: "p"}]
+	q := s.queues[queueKey{pool: "p"}]
 	if q.running > slots {
-		t.Fatalf("%d run in %d slots", q.running, slots)
+		t.Fatalf("%d requests run in %d slots", q.running, slots)
 	}
 	if got := s.workspaces["a"].running; got > 2 {
-		t.Fatalf("%d run of a workspace that may run 2", got)
+		t.Fatalf("%d requests run of a workspace whose limit is 2", got)
 	}
-	if q.hasRoom() && q.least() != nil {
-		t.Fatal("a slot is free and a request waits")
+	if q.hasRoom() && q.nextFlow() != nil {
+		t.Fatal("a slot is free while a request waits")
 	}
 }
 
-// Each entry enforces a share of the limit. With a balancer that spreads
-// requests evenly at random, what all entries pass together stays within
-// ShareHeadroom of the limit, and a workspace that asks for just its limit gets
-// nearly all of it.
+// Each entry enforces a share of the limit. With a load balancer that distributes
+// requests uniformly at random, all entries together pass at most ShareHeadroom
+// times the limit, and a workspace whose demand equals its limit gets nearly all
+// of it.
 func TestRateOverEntries(t *testing.T) {
 	const (
 		limit   = 10_000.0 // tokens a second
@@ -154,7 +154,7 @@
 		w, f := s.enqueue(it)
 		if f == nil {
 			passed += float64(it.Cost)
-			Ticket{&grant{s: s, w: w}}.Release(it.Cost)
+			Ticket{&grant{scheduler: s, waiter: w}}.Release(it.Cost)
 		}
 	}
 	return passed
--- a/workspace/scheduler.go
+++ b/workspace/scheduler.go
@@ -11,7 +11,7 @@
 	"github.com/briarturn/briarturn/request"
 )
 
-// Reasons of refusals, as callers see them.
+// Reasons of refusals, as returned to callers.
 const (
 	ReasonDeadline  = "deadline_unmeetable"
 	ReasonQueueFull = "queue_full"
@@ -22,51 +22,51 @@
 
 const stepQueue = "queue"
 
-// maxWorkspaces is the number of workspaces from which idle ones that no policy
-// names are dropped.
+// maxWorkspaces is the number of workspaces at which idle ones without a declared
+// policy are dropped.
 const maxWorkspaces = 4_096
 
-// DefaultCapacity holds for a pool until SetCapacity.
+// DefaultCapacity is the capacity of a pool until SetCapacity is called for it.
 var DefaultCapacity = Capacity{Slots: 64}
 
-var schedulerCounts = invariant.New("workspace.scheduler.counts",
+var invariantCounts = invariant.New("workspace.scheduler.counts",
 	"running requests and tokens of a pool are never negative")
 
 // Options configures a Scheduler.
 type Options struct {
 	Now     func() time.Time // nil: time.Now
-	Metrics metrics.Registry // nil: counted nowhere
-	// Policy holds for workspaces without one of their own.
+	Metrics metrics.Registry // nil: counters are discarded
+	// Policy applies to workspaces without a policy of their own.
 	Policy Policy
 }
 
-// Scheduler decides which request starts next. It is safe for concurrent use.
+// Scheduler decides which requests may start and when. It is safe for concurrent use.
 type Scheduler struct {
-	now      func() time.Time
-	metrics  metrics.Registry
-	fallback Policy
+	now           func() time.Time
+	metrics       metrics.Registry
+	defaultPolicy Policy
 
-	mu         sync.Mutex // guards all below and every queue, flow and waiter
+	mu         sync.Mutex // guards the fields below and every queue, flow and waiter
 	entries    int
 	closed     bool
 	arrivals   uint64
-	queues     map[lane]*queue
+	queues     map[queueKey]*queue
 	workspaces map[string]*workspace
 }
 
-// workspace is one workspace's state at this entry.
+// workspace is the state of one workspace at this entry.
 type workspace struct {
-	name        string
-	policy      Policy
-	declared    bool
-	concurrency int // this entry's share
-	running     int
-	waiting     int
-	tokens      bucket
-	retries     float64
+	name         string
+	policy       Policy
+	declared     bool
+	concurrency  int // this entry's share of the limit
+	running      int
+	waiting      int
+	rateLimiter  tokenBucket
+	retryBalance float64
 }
 
-// NewScheduler returns a scheduler that is alone: one entry.
+// NewScheduler returns a Scheduler for a single entry; see SetEntries.
 func NewScheduler(opts Options) *Scheduler {
 	if opts.Now == nil {
 		opts.Now = time.Now
@@ -75,31 +75,30 @@
 		opts.Metrics = metrics.NewRegistry()
 	}
 	return &Scheduler{
-		now:        opts.Now,
-		metrics:    opts.Metrics,
-		fallback:   opts.Policy.withDefaults(),
-		entries:    1,
-		queues:     map[lane]*queue{},
-		workspaces: map[string]*workspace{},
+		now:           opts.Now,
+		metrics:       opts.Metrics,
+		defaultPolicy: opts.Policy.withDefaults(),
+		entries:       1,
+		queues:        map[queueKey]*queue{},
+		workspaces:    map[string]*workspace{},
 	}
 }
 
-// lane names a queue: the requests of one length class for one pool. Each has
-// a dispatch window of its own. With one window for all, a few long prompts,
-// which hold a large part of it for many seconds, close it for the short ones
-// behind them: one sees first tokens of notices that come seconds late, with
-// engines idle.
-type lane struct {
+// queueKey identifies a queue: the requests of one length class for one pool. Each
+// queue has its own dispatch window. With one window for all classes, a few long
+// prompts hold a large part of it for many seconds and block the short requests
+// behind them, whose first tokens are then seconds late while engines are idle.
+type queueKey struct {
 	pool  string
 	class request.Class
 }
 
-// SetCapacity sets the dispatch window of one length class of a pool. What runs
-// is not touched.
+// SetCapacity sets the dispatch window of one length class of a pool. Running
+// requests are not affected.
 func (s *Scheduler) SetCapacity(pool string, class request.Class, c Capacity) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	q := s.queue(lane{pool, class})
+	q := s.queue(queueKey{pool, class})
 	q.capacity = c
 	s.dispatch(q)
 }
@@ -111,18 +110,18 @@
 	ws := s.workspace(name)
 	ws.policy = p.withDefaults()
 	ws.declared = true
-	ws.concurrency = concurrencyShare(ws.policy.Concurrency, s.entries)
+	ws.concurrency = entryConcurrency(ws.policy.Concurrency, s.entries)
 	s.dispatchAll()
 }
 
-// RemovePolicy makes a workspace fall back to Options.Policy.
+// RemovePolicy resets a workspace to Options.Policy.
 func (s *Scheduler) RemovePolicy(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ws := s.workspace(name)
-	ws.policy = s.fallback
+	ws.policy = s.defaultPolicy
 	ws.declared = false
-	ws.concurrency = concurrencyShare(ws.policy.Concurrency, s.entries)
+	ws.concurrency = entryConcurrency(ws.policy.Concurrency, s.entries)
 	s.dispatchAll()
 }
 
@@ -133,100 +132,101 @@
 	defer s.mu.Unlock()
 	s.entries = max(1, n)
 	for _, ws := range s.workspaces {
-		ws.concurrency = concurrencyShare(ws.policy.Concurrency, s.entries)
+		ws.concurrency = entryConcurrency(ws.policy.Concurrency, s.entries)
 	}
 	s.dispatchAll()
 }
 
-// Submit waits until the item may be dispatched. A failure is a true not_run.
-// The caller releases the ticket when the request has ended, whichever way.
+// Submit waits until the item may be dispatched. A failure is always not_run. The
+// caller must release the ticket when the request has ended, in every case.
 func (s *Scheduler) Submit(ctx context.Context, it Item) (Ticket, *request.Failure) {
 	w, f := s.enqueue(it)
 	if f != nil {
-		return Ticket{}, s.count(f)
+		return Ticket{}, s.countRefusal(f)
 	}
 	s.await(ctx, w)
 	if w.failure != nil {
-		return Ticket{}, s.count(w.failure)
+		return Ticket{}, s.countRefusal(w.failure)
 	}
-	return Ticket{&grant{s: s, w: w}}, nil
+	return Ticket{&grant{scheduler: s, waiter: w}}, nil
 }
 
-// enqueue checks the limits and queues the item, or starts it at once.
+// enqueue checks the limits and queues the item, or starts it immediately.
 func (s *Scheduler) enqueue(it Item) (*waiter, *request.Failure) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	if s.closed {
-		return nil, refusal(request.StatusServiceUnavailable, ReasonClosed, 0)
+		return nil, newRefusal(request.StatusServiceUnavailable, ReasonClosed, 0)
 	}
 	it.Cost = max(1, it.Cost)
 	ws := s.workspace(it.Workspace)
-	q := s.queue(lane{it.Pool, it.Class})
+	q := s.queue(queueKey{it.Pool, it.Class})
 	s.arrivals++
 	w := newWaiter(it, s.arrivals, now)
 	flow := q.flow(ws)
-	if f := s.check(ws, q, flow, w, now); f != nil {
+	if f := s.checkAdmission(ws, q, flow, w, now); f != nil {
 		flow.dropIfIdle()
 		return nil, f
 	}
-	ws.retries = min(retryBurst, ws.retries+max(0, ws.policy.RetryRatio))
+	ws.retryBalance = min(retryBurst, ws.retryBalance+max(0, ws.policy.RetryRatio))
 	flow.push(w)
 	s.dispatch(q)
 	return w, nil
 }
 
-// check refuses what can't be served in time or within the limits. The rate
-// comes last, so that a request refused for another reason isn't charged.
-func (s *Scheduler) check(ws *workspace, q *queue, f *flow, w *waiter, now time.Time) *request.Failure {
+// checkAdmission refuses a request that can't be served in time or within the limits.
+// The rate limit is checked last, so that a request refused for another reason isn't
+// charged.
+func (s *Scheduler) checkAdmission(ws *workspace, q *queue, f *flow, w *waiter, now time.Time) *request.Failure {
 	if ws.waiting >= ws.policy.MaxQueue {
-		return refusal(request.StatusTooManyRequests, ReasonQueueFull, q.wait(f, w, now)+time.Second)
+		return newRefusal(request.StatusTooManyRequests, ReasonQueueFull, q.estimatedWait(f, w, now)+time.Second)
 	}
-	wait := q.wait(f, w, now)
+	wait := q.estimatedWait(f, w, now)
 	if start := w.latestStart(); !start.IsZero() && now.Add(wait).After(start) {
-		return refusal(request.StatusServiceUnavailable, ReasonDeadline, wait+time.Second)
+		return newRefusal(request.StatusServiceUnavailable, ReasonDeadline, wait+time.Second)
 	}
-	if rate := share(ws.policy.TokensPerSecond, s.entries); rate > 0 {
-		burst := share(ws.policy.BurstTokens, s.entries)
-		if wait, ok := ws.tokens.take(float64(w.Cost), rate, burst, now); !ok {
-			return refusal(request.StatusTooManyRequests, ReasonRate, wait)
+	if rate := entryShare(ws.policy.TokensPerSecond, s.entries); rate > 0 {
+		burst := entryShare(ws.policy.BurstTokens, s.entries)
+		if wait, ok := ws.rateLimiter.take(float64(w.Cost), rate, burst, now); !ok {
+			return newRefusal(request.StatusTooManyRequests, ReasonRate, wait)
 		}
 	}
 	return nil
 }
 
-// await waits until the item is settled, its caller gives up, or it could no
-// longer end in time.
+// await waits until the item is granted or refused. It refuses the item when the
+// context ends or its deadline can no longer be met.
 func (s *Scheduler) await(ctx context.Context, w *waiter) {
-	var late <-chan time.Time
+	var latestStart <-chan time.Time
 	if start := w.latestStart(); !start.IsZero() {
 		timer := time.NewTimer(start.Sub(s.now()))
 		defer timer.Stop()
-		late = timer.C
+		latestStart = timer.C
 	}
 	select {
 	case <-w.done:
 	case <-ctx.Done():
-		s.giveUp(w, refusal(request.StatusServiceUnavailable, ReasonCancelled, 0))
-	case <-late:
-		s.giveUp(w, refusal(request.StatusServiceUnavailable, ReasonDeadline, time.Second))
+		s.refuseIfWaiting(w, newRefusal(request.StatusServiceUnavailable, ReasonCancelled, 0))
+	case <-latestStart:
+		s.refuseIfWaiting(w, newRefusal(request.StatusServiceUnavailable, ReasonDeadline, time.Second))
 	}
 }
 
-// giveUp refuses an item that still waits. One that was granted meanwhile stays
-// granted: its ticket is returned, and the caller releases it.
-func (s *Scheduler) giveUp(w *waiter, f *request.Failure) {
+// refuseIfWaiting refuses an item that still waits. An item that was granted in the
+// meantime stays granted: Submit returns its ticket, and the caller releases it.
+func (s *Scheduler) refuseIfWaiting(w *waiter, f *request.Failure) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if w.state != waiting {
 		return
 	}
 	w.flow.remove(w)
-	w.settle(refused, f)
+	w.resolve(refused, f)
 	w.flow.dropIfIdle()
 }
 
-// Close refuses all that waits and all that comes. What runs is not touched.
+// Close refuses all waiting and future items. Running requests are not affected.
 func (s *Scheduler) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -242,24 +242,25 @@
 	for len(f.waiting) > 0 {
 		w := f.waiting[0]
 		f.remove(w)
-		w.settle(refused, refusal(request.StatusServiceUnavailable, ReasonClosed, 0))
+		w.resolve(refused, newRefusal(request.StatusServiceUnavailable, ReasonClosed, 0))
 	}
 }
 
-// AllowRetry takes one retry from the workspace's budget, which grows with its
-// requests. Without it the retries of an outage would multiply the load.
+// AllowRetry takes one retry from the workspace's retry budget, which grows with its
+// requests, and reports whether one was available. Without a budget, retries would
+// multiply the load during an outage.
 func (s *Scheduler) AllowRetry(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ws := s.workspace(name)
-	if ws.policy.RetryRatio < 0 || ws.retries < 1 {
+	if ws.policy.RetryRatio < 0 || ws.retryBalance < 1 {
 		return false
 	}
-	ws.retries--
+	ws.retryBalance--
 	return true
 }
 
-// Depth returns how many requests wait and run over all pools.
+// Depth returns the number of waiting and running requests in all pools.
 func (s *Scheduler) Depth() (waiting, running int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -270,14 +271,14 @@
 	return waiting, running
 }
 
-// dispatch starts what may start on a pool. The caller holds mu.
+// dispatch starts all requests of a queue that may start. The caller holds mu.
 func (s *Scheduler) dispatch(q *queue) {
 	for q.hasRoom() {
-		f := q.least()
+		f := q.nextFlow()
 		if f == nil {
 			return
 		}
-		f.start(s.now()).settle(granted, nil)
+		f.start(s.now()).resolve(granted, nil)
 	}
 }
 
@@ -287,7 +288,7 @@
 	}
 }
 
-func (s *Scheduler) queue(l lane) *queue {
+func (s *Scheduler) queue(l queueKey) *queue {
 	q := s.queues[l]
 	if q == nil {
 		q = newQueue(DefaultCapacity, s.now())
@@ -300,18 +301,18 @@
 	ws := s.workspaces[name]
 	if ws == nil {
 		if len(s.workspaces) >= maxWorkspaces {
-			s.forgetIdle()
+			s.dropIdleWorkspaces()
 		}
-		ws = &workspace{name: name, policy: s.fallback, retries: retryBurst}
-		ws.concurrency = concurrencyShare(ws.policy.Concurrency, s.entries)
+		ws = &workspace{name: name, policy: s.defaultPolicy, retryBalance: retryBurst}
+		ws.concurrency = entryConcurrency(ws.policy.Concurrency, s.entries)
 		s.workspaces[name] = ws
 	}
 	return ws
 }
 
-// forgetIdle drops the workspaces that no policy names and that ask for nothing.
-// Without it callers could fill the memory with names that they make up.
-func (s *Scheduler) forgetIdle() {
+// dropIdleWorkspaces drops the workspaces that have no declared policy and no
+// requests. Otherwise callers could exhaust the memory with invented names.
+func (s *Scheduler) dropIdleWorkspaces() {
 	for name, ws := range s.workspaces {
 		if ws.declared || ws.waiting > 0 || ws.running > 0 {
 			continue
@@ -323,12 +324,12 @@
 	}
 }
 
-func (s *Scheduler) count(f *request.Failure) *request.Failure {
+func (s *Scheduler) countRefusal(f *request.Failure) *request.Failure {
 	metrics.GetOrRegisterCounter("workspace.refused."+f.Reason, s.metrics).Inc(1)
 	return f
 }
 
-func refusal(status int, reason string, retryAfter time.Duration) *request.Failure {
+func newRefusal(status int, reason string, retryAfter time.Duration) *request.Failure {
 	return &request.Failure{
 		Code:       request.NotRun,
 		Reason:     reason,
--- a/workspace/scheduler_test.go
+++ b/workspace/scheduler_test.go
@@ -16,8 +16,8 @@
 	"github.com/briarturn/briarturn/request"
 )
 
-// run submits an item, works for as long as it says and releases it. It
-// returns the time spent waiting.
+// run submits an item, sleeps for its expected duration and releases it. It returns
+// the time spent waiting.
 func run(s *Scheduler, it Item) (time.Duration, *request.Failure) {
 	begin := time.Now()
 	ticket, f := s.Submit(context.Background(), it)
@@ -34,10 +34,10 @@
 	return Item{Workspace: ws, Pool: "p", Cost: cost, ExpectedDuration: expected}
 }
 
-// quietWait returns the mean wait of a quiet workspace's requests while others
-// keep the pool busy. Durations vary by a seeded generator, so that hardly any
-// two events fall on one instant, whose order nothing would fix.
-func quietWait(others []string, each int) time.Duration {
+// meanQuietWait returns the mean wait of a quiet workspace's requests while others
+// keep the pool busy. A seeded generator varies the durations, because the order of
+// events at the same instant is undefined.
+func meanQuietWait(others []string, each int) time.Duration {
 	const requests = 4_000
 	s := NewScheduler(Options{})
 	s.SetCapacity("p", request.ClassShort, Capacity{Slots: 8})
@@ -52,39 +52,38 @@
 	time.Sleep(time.Second)
 	var sum time.Duration
 	for range requests {
-		wait, _ := run(s, item("quiet", 100, quietService))
+		wait, _ := run(s, item("quiet", 100, quietDuration))
 		sum += wait
-		time.Sleep(around(rnd, 90*time.Millisecond))
+		time.Sleep(jitter(rnd, 90*time.Millisecond))
 	}
 	s.Close()
 	wg.Wait()
 	return sum / requests
 }
 
-const quietService = 10 * time.Millisecond
+const quietDuration = 10 * time.Millisecond
 
 func keepBusy(s *Scheduler, ws string, rnd *rand.Rand) {
 	for {
-		if _, f := run(s, item(ws, 1000, around(rnd, 100*time.Millisecond))); f != nil {
+		if _, f := run(s, item(ws, 1000, jitter(rnd, 100*time.Millisecond))); f != nil {
 			return
 		}
 	}
 }
 
-// around returns a duration within half of mean either way.
-func around(rnd *rand.Rand, mean time.Duration) time.Duration {
+// jitter returns a random duration between half and one and a half times mean.
+func jitter(rnd *rand.Rand, mean time.Duration) time.Duration {
 	return mean/2 + time.Duration(rnd.Int64N(int64(mean)))
 }
 
-// Symptom: a quiet workspace's requests wait behind another's flood.
-// Sequence: two workspaces keep the pool busy; then both send twenty
-// times as much; the quiet one goes on as before.
-// Cause: one queue in the order of arrival.
-func TestFloodCostsQuietWorkspaceLittle(t *testing.T) {
+// Guards against requests of a quiet workspace waiting behind a flood of others. Two
+// workspaces keep the pool busy and then send twenty times as much; a single queue in
+// order of arrival would delay the quiet workspace.
+func TestFloodBarelyDelaysQuietWorkspace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		before := quietWait([]string{"x", "y"}, 10)
-		flooded := quietWait([]string{"x", "y"}, 200)
-		added := float64(flooded-before) / float64(before+quietService)
+		before := meanQuietWait([]string{"x", "y"}, 10)
+		flooded := meanQuietWait([]string{"x", "y"}, 200)
+		added := float64(flooded-before) / float64(before+quietDuration)
 		t.Logf("quiet workspace: mean wait %v with busy others, %v flooded: %+.2f%%", before, flooded, 100*added)
 		if added >= 0.05 {
 			t.Errorf("a flood adds %.1f%%, want under 5%%", 100*added)
@@ -92,10 +91,9 @@
 	})
 }
 
-// Symptom: a long request never starts.
-// Sequence: short requests of the same workspace arrive faster than they are
-// served, for ever, and all have less remaining work.
-// Cause: shortest remaining work first without a bound on waiting.
+// Guards against starvation of a long request. Short requests of the same workspace
+// keep arriving faster than they are served; shortest remaining work first without a
+// bound on waiting would never start the long one.
 func TestLongRequestIsNotStarved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewScheduler(Options{})
@@ -122,8 +120,8 @@
 	})
 }
 
-// startOrder submits items to a pool without room, opens one slot and returns
-// the order in which they start.
+// startOrder submits items to a pool without slots, adds one slot and returns the
+// order in which they start.
 func startOrder(t *testing.T, items map[string]Item) []string {
 	var order []string
 	s := NewScheduler(Options{})
@@ -163,26 +161,25 @@
 	})
 }
 
-// A step of priority is worth a bounded time, or batch work would never start
-// beside a steady stream of interactive work.
+// Checks that a step of priority is worth a bounded time. Otherwise batch requests
+// would never start during a steady stream of interactive ones.
 func TestPriorityWithinWorkspace(t *testing.T) {
 	now := time.Unix(0, 0)
 	batch := newWaiter(Item{Priority: 50}, 1, now)
 	soon := newWaiter(Item{Priority: 10}, 2, now.Add(40*priorityStep-1))
 	late := newWaiter(Item{Priority: 10}, 3, now.Add(40*priorityStep+1))
-	if !soon.order.Before(batch.order) || !batch.order.Before(late.order) {
-		t.Errorf("batch at %v, interactive at %v and %v", batch.order, soon.order, late.order)
+	if !soon.orderTime.Before(batch.orderTime) || !batch.orderTime.Before(late.orderTime) {
+		t.Errorf("batch at %v, interactive at %v and %v", batch.orderTime, soon.orderTime, late.orderTime)
 	}
 	urgent := newWaiter(Item{Priority: 100, Deadline: now.Add(time.Second)}, 4, now)
-	if urgent.order.After(now.Add(time.Second)) {
-		t.Errorf("ordered %v after its deadline", urgent.order.Sub(now))
+	if urgent.orderTime.After(now.Add(time.Second)) {
+		t.Errorf("ordered %v after its deadline", urgent.orderTime.Sub(now))
 	}
 }
 
-// Symptom: callers wait out their whole limit and then hear that it is over,
-// and under overload the fleet works for callers who are gone.
-// Sequence: more is queued than can end in time.
-// Cause: deadlines looked at only when they have passed.
+// Guards against checking deadlines only after they have passed. If more is queued
+// than can end in time, callers would wait for their whole timeout before the
+// refusal, and an overloaded fleet would work for callers that are gone.
 func TestUnmeetableDeadlineIsRefusedEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewScheduler(Options{})
@@ -193,7 +190,7 @@
 		for range 4 {
 			wg.Go(func() {
 				if _, f := run(s, it); f != nil || time.Now().After(it.Deadline) {
-					t.Errorf("admitted and then not done in time: %v", f)
+					t.Errorf("admitted but not finished in time: %v", f)
 				}
 			})
 		}
@@ -217,7 +214,7 @@
 			t.Errorf("failure %v after %v, want %s after 2s", f, wait, ReasonDeadline)
 		}
 		if waiting, running := s.Depth(); waiting+running != 0 {
-			t.Errorf("%d wait, %d run", waiting, running)
+			t.Errorf("%d requests wait, %d run", waiting, running)
 		}
 	})
 }
@@ -240,7 +237,7 @@
 		s := NewScheduler(Options{})
 		s.SetPolicy("rate", Policy{TokensPerSecond: 100, BurstTokens: 100})
 		if _, f := run(s, item("rate", 300, 0)); f != nil {
-			t.Errorf("a request larger than the burst never passes: %v", f)
+			t.Errorf("a request larger than the burst was refused: %v", f)
 		}
 		_, f := run(s, item("rate", 1, 0))
 		if f == nil || f.Reason != ReasonRate || f.RetryAfter < 2*time.Second {
@@ -261,15 +258,14 @@
 		ticket.Release(1)
 		synctest.Wait()
 		if waiting, running := s.Depth(); waiting+running != 0 {
-			t.Errorf("%d wait, %d run after the release", waiting, running)
+			t.Errorf("%d requests wait, %d run after the release", waiting, running)
 		}
 	})
 }
 
-// Symptom: an outage's retries keep the fleet down after it has come back.
-// Sequence: every request fails and is tried again.
-// Cause: retries that no budget ties to the number of requests.
-func TestRetriesAreAShareOfRequests(t *testing.T) {
+// Guards against retries that keep the fleet overloaded after an outage: if no budget
+// ties them to the number of requests, every request that fails is retried.
+func TestRetriesAreBoundedByRequests(t *testing.T) {
 	s := NewScheduler(Options{})
 	retries := 0
 	for range 1000 {
@@ -283,13 +279,11 @@
 	}
 }
 
-// Symptom: prompts that did nothing wrong fail with an unknown outcome, though other
-// servers would run them and their time is not up.
-// Sequence: an engine dies with all the prompts that it runs, more of one workspace
-// from one entry than that workspace may save up retries for.
-// Cause: what may be saved up was less than what one engine runs. The evidence: of 16
-// prompts that died with an engine of the only entry, six failed, and ten were retried.
-func TestRetriesCoverTheDeathOfAnEngine(t *testing.T) {
+// Guards against prompts failing with an unknown outcome after an engine died, although
+// other servers could run them in time. This happened when a workspace could accumulate
+// fewer retries than one engine runs prompts: of 16 prompts that died with an engine,
+// all from one entry, ten were retried and six failed.
+func TestRetryBurstCoversEngineDeath(t *testing.T) {
 	const engineSlots = 16
 	s := NewScheduler(Options{})
 	for range engineSlots {
@@ -297,25 +291,24 @@
 	}
 	for i := range engineSlots {
 		if !s.AllowRetry("w") {
-			t.Fatalf("%d of the %d prompts of an engine were retried", i, engineSlots)
+			t.Fatalf("only %d of the %d prompts of an engine were retried", i, engineSlots)
 		}
 	}
 }
 
-// Symptom: a workspace whose operator forbade retries is retried, or the budget
-// in the entry's settings has no effect.
-// Sequence: requests of a workspace without a policy fail; a policy follows.
-// Cause: zero taken for the default; Options.Policy not used.
+// Guards against retries for a workspace whose operator disabled them, and against
+// ignoring the retry ratio in the entry's settings. A zero ratio could be taken for
+// the default, and Options.Policy could be ignored until a policy is declared.
 func TestRetryRatioOfOptionsAndPolicies(t *testing.T) {
 	s := NewScheduler(Options{Policy: Policy{RetryRatio: NoRetries}})
 	run(s, item("w", 1, 0))
 	if s.AllowRetry("w") {
-		t.Error("retried where the options allow none")
+		t.Error("retried although the options allow no retries")
 	}
 	s.SetPolicy("w", Policy{RetryRatio: 1})
 	run(s, item("w", 1, 0))
 	if !s.AllowRetry("w") {
-		t.Error("not retried where the policy allows it")
+		t.Error("not retried although the policy allows it")
 	}
 	s.RemovePolicy("w")
 	if s.AllowRetry("w") {
@@ -323,10 +316,9 @@
 	}
 }
 
-// Symptom: an entry's memory grows until it dies.
-// Sequence: a caller sends each request under another workspace's name.
-// Cause: state for each name that was ever seen.
-func TestMadeUpNamesAreForgotten(t *testing.T) {
+// Guards against unbounded memory: a caller that sends each request under a new
+// workspace name would make the entry keep state for every name ever seen.
+func TestIdleUndeclaredWorkspacesAreDropped(t *testing.T) {
 	s := NewScheduler(Options{})
 	s.SetPolicy("declared", Policy{Weight: 7})
 	for i := range 3 * maxWorkspaces {
@@ -337,7 +329,7 @@
 	if n := len(s.workspaces); n > maxWorkspaces {
 		t.Errorf("%d workspaces", n)
 	}
-	if n := len(s.queues[lane{pool: "p"}].flows); n > maxWorkspaces {
+	if n := len(s.queues[queueKey{pool: "p"}].flows); n > maxWorkspaces {
 		t.Errorf("%d flows", n)
 	}
 	if s.workspace("declared").policy.Weight != 7 {
--- a/workspace/window_test.go
+++ b/workspace/window_test.go
@@ -9,10 +9,9 @@
 	"github.com/briarturn/briarturn/request"
 )
 
-// Symptom: short requests wait for seconds while engines are idle.
-// Sequence: some long prompts take the whole window, then short ones come.
-// Cause: one window for all length classes.
-func TestLongPromptsDontCloseTheWindowForShort(t *testing.T) {
+// Guards against short requests waiting for seconds while engines are idle: with one
+// window for all length classes, a few long prompts would use all of it.
+func TestLongPromptsLeaveWindowForShortOnes(t *testing.T) {
 	s := NewScheduler(Options{})
 	for class := range request.ClassCount {
 		s.SetCapacity("p", class, Capacity{Slots: 8, Tokens: 1_000})
@@ -29,17 +28,16 @@
 	}
 }
 
-// Symptom: under overload the order of the queue means nothing: all is sent at
-// once and waits at the engines.
-// Sequence: prompts arrive faster than they are prefilled.
-// Cause: a window of memory alone, which is large. That of prefill opens with
-// each first token, and once for each, however a request ends.
+// Guards against the queue order having no effect under overload. If prompts arrive
+// faster than they are prefilled, a window limited by memory alone, which is large,
+// sends them all at once and they wait at the engines. The prefill window frees the
+// tokens of each request exactly once, at its first token or at its end.
 func TestPrefillWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 500
 		s := NewScheduler(Options{})
 		s.SetCapacity("p", request.ClassShort, Capacity{Slots: 100, PrefillTokens: limit})
-		q := s.queues[lane{pool: "p"}]
+		q := s.queues[queueKey{pool: "p"}]
 		var running []Ticket
 		var all []*waiter
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
@@ -62,19 +60,19 @@
 			}
 			for _, w := range all {
 				if w.state == granted {
-					running = append(running, Ticket{&grant{s: s, w: w}})
+					running = append(running, Ticket{&grant{scheduler: s, waiter: w}})
 				}
 			}
 			all = stillWaiting(all)
 			var sum int64
 			for _, ticket := range running {
-				sum += ticket.grant.w.PrefillTokens
+				sum += ticket.grant.waiter.PrefillTokens
 			}
-			if q.prefill != sum || sum >= limit+300 {
-				t.Fatalf("prefill %d counted, %d in progress, limit %d", q.prefill, sum, limit)
+			if q.prefillTokens != sum || sum >= limit+300 {
+				t.Fatalf("%d prefill tokens counted, %d in progress, limit %d", q.prefillTokens, sum, limit)
 			}
 			if len(all) > 0 && sum < limit {
-				t.Fatalf("%d wait with %d of %d in use", len(all), sum, limit)
+				t.Fatalf("%d requests wait with %d of %d tokens in use", len(all), sum, limit)
 			}
 		}
 	})
