--- a/routetable/holder.go
+++ b/routetable/holder.go
@@ -7,24 +7,26 @@
 	"github.com/briarturn/briarturn/internal/boottime"
 )
 
-// Holder keeps the newest Table of a process and until when it was proved current.
-// It is safe for concurrent use; mu guards all fields and is a leaf lock.
+// Holder holds the newest Table of a process and the instant as of which it was last
+// confirmed current. It is safe for concurrent use; mu guards the fields below it and
+// is a leaf lock.
 type Holder struct {
 	now boottime.Clock
 
-	mu     sync.Mutex
-	table  *Table
-	proved boottime.Instant
-	known  bool
+	mu             sync.Mutex
+	table          *Table
+	currentAsOf    boottime.Instant
+	currentAsOfSet bool
 }
 
 // NewHolder returns an empty Holder.
 func NewHolder(now boottime.Clock) *Holder { return &Holder{now: now} }
 
-// Offer takes a table that was read from the store by a call begun at asked, and
-// reports whether it is newer than the one held. An older or equal one changes
-// nothing: a lagging replica or an answer that overtakes another would else bring
-// back a removed route or key, seen as a caller that is served by turns.
+// Offer stores a table that was read from the store by a call that started at asked,
+// and reports whether it is newer than the current one. An older table is ignored and
+// an equal one only confirms the current one: otherwise a lagging replica or reordered
+// answers would restore a removed route or key, and a caller would be alternately
+// accepted and rejected.
 func (h *Holder) Offer(t *Table, asked boottime.Instant) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -35,33 +37,34 @@
 	if newer {
 		h.table = t
 	}
-	h.proveLocked(asked)
+	h.markCurrentLocked(asked)
 	return newer
 }
 
-// MarkCurrent notes that a call begun at asked showed the held table to be current.
+// MarkCurrent records that a call that started at asked confirmed the current table.
+// It does nothing before the first table.
 func (h *Holder) MarkCurrent(asked boottime.Instant) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.table != nil {
-		h.proveLocked(asked)
+		h.markCurrentLocked(asked)
 	}
 }
 
-func (h *Holder) proveLocked(asked boottime.Instant) {
-	if !h.known || asked > h.proved {
-		h.proved = asked
-		h.known = true
+func (h *Holder) markCurrentLocked(asked boottime.Instant) {
+	if !h.currentAsOfSet || asked > h.currentAsOf {
+		h.currentAsOf = asked
+		h.currentAsOfSet = true
 	}
 }
 
-// Table returns the newest table and its age: how long ago it was last proved
-// current. ok is false before the first one.
+// Table returns the newest table and its age: the time since it was last confirmed
+// current. ok is false before the first table.
 func (h *Holder) Table() (t *Table, age time.Duration, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.table == nil {
 		return nil, 0, false
 	}
-	return h.table, h.now().Sub(h.proved), true
+	return h.table, h.now().Sub(h.currentAsOf), true
 }
--- a/routetable/regions.go
+++ b/routetable/regions.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// Regions are the regions in which requests may run; none means any.
+// Regions lists the regions in which requests may run; an empty list allows all.
 type Regions []string
 
-// Allows reports whether requests may run in a region. One that isn't known is none
-// of those that are named.
+// Allows reports whether requests may run in a region. An unknown (empty) region is
+// allowed only if the list is empty.
 func (r Regions) Allows(region string) bool {
 	return len(r) == 0 || slices.Contains(r, region)
 }
--- a/routetable/table.go
+++ b/routetable/table.go
@@ -1,10 +1,11 @@
-// Package routetable holds what operators declare for the gateway: routes, the
-// services behind them, limits on callers, and the workspaces with their API keys.
+// Package routetable holds the configuration that operators declare for the gateway:
+// routes, the services behind them, limits on callers, and the workspaces with their
+// API keys.
 //
-// Rules kept here: a Table never changes after New; a Holder never goes back to an
-// older revision within a process, whoever offers it; what was proved current is
-// counted from before the question was asked, on a clock that runs on while the VM
-// is suspended.
+// Guarantees: a Table never changes after New; a Holder never returns to an older
+// revision within a process, regardless of its source; the age of a table is counted
+// from before the call that confirmed it, on a clock that includes the time during
+// which the VM is suspended.
 package routetable
 
 import (
@@ -16,17 +17,17 @@
 	"github.com/briarturn/briarturn/placement"
 )
 
-// Kind says what may be repeated.
+// Kind determines whether the requests of a route may be retried.
 type Kind uint8
 
-// Kinds of a route.
+// Kinds of routes.
 const (
 	Idempotent    Kind = iota // may run more than once
-	NonIdempotent             // runs at most once for each attempt of a caller
-	Stream                    // a series of events; as NonIdempotent unless Resumable
+	NonIdempotent             // runs at most once per attempt of a caller
+	Stream                    // a stream of events; treated as NonIdempotent unless Resumable
 )
 
-// String returns the kind as logs show it.
+// String returns the name of the kind as used in logs.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -37,7 +38,7 @@
 	return "stream"
 }
 
-// Target is a service that takes a share of a route's requests.
+// Target is a service that receives a share of a route's requests.
 type Target struct {
 	Service string
 	Weight  int // relative to the route's other targets
@@ -49,14 +50,14 @@
 	Host           string
 	Prefix         string // begins and ends with a slash
 	Kind           Kind
-	Resumable      bool          // a Stream that may go on at another backend server
-	Timeout        time.Duration // longest time that a caller is kept waiting
-	Objective      time.Duration // within it an answer (a stream's first event) is on time
-	PauseObjective time.Duration // longest pause between events of a Stream on time
-	Priority       int           // 0 is first
-	MaxAttempts    int           // backend servers that one attempt of a caller may be sent to
-	Public         bool          // needs no API key
-	Regions        Regions       // bind beside those of the workspace
+	Resumable      bool          // a Stream that may be resumed on another backend server
+	Timeout        time.Duration // maximum duration of a request
+	Objective      time.Duration // time within which an answer (or the first event of a stream) is on time
+	PauseObjective time.Duration // longest pause between events with which a Stream is on time
+	Priority       int           // 0 is the highest
+	MaxAttempts    int           // maximum backend servers to which one attempt of a caller is sent
+	Public         bool          // requires no API key
+	Regions        Regions       // apply in addition to those of the workspace
 	Targets        []Target
 }
 
@@ -65,59 +66,59 @@
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Service is a declared set of backend servers.
+// Service is a declared group of backend servers.
 type Service struct {
 	Name   string
 	Engine *placement.Engine // nil for a plain service
-	// ColdPerSecond is how many requests a second one of its servers bears while it is
-	// cold, from all entries together; 0: not declared.
+	// ColdPerSecond is the number of requests per second, from all entries together,
+	// that one of its servers can handle while it is cold; 0: not declared.
 	ColdPerSecond float64
 }
 
-// Limits bound what a caller may send. Zero is no limit.
+// Limits limits the size of callers' requests. Zero means no limit.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
 }
 
-// Workspace is who a request is accounted to.
+// Workspace is the tenant to which requests are attributed.
 type Workspace struct {
 	Name        string
-	Priority    int  // goes before the route's
-	HasPriority bool // Priority is given
+	Priority    int  // overrides the priority of the route
+	HasPriority bool // Priority is set
 	Regions     Regions
 }
 
-// Config is the decoded content of one revision.
+// Config is the decoded configuration of one revision.
 type Config struct {
-	Revision   uint64 // rises with each version of the operators
+	Revision   uint64 // increases with each version that operators declare
 	Routes     []Route
 	Services   []Service
 	Limits     Limits
 	Workspaces []Workspace
-	Keys       map[string]string // API key → name of its workspace
+	Keys       map[string]string // API key -> name of its workspace
 }
 
-// Table is one revision, ready for look-ups. It is immutable and safe for
-// concurrent use.
+// Table is one revision of the configuration, indexed for lookups. It is immutable and
+// safe for concurrent use.
 type Table struct {
-	revision   uint64
-	byHost     map[string][]*Route // longest prefix first
-	services   map[string]*Service
-	limits     Limits
-	workspaces map[string]*Workspace // by API key
-	needsKey   bool
+	revision       uint64
+	byHost         map[string][]*Route // longest prefix first
+	services       map[string]*Service
+	limits         Limits
+	workspaceByKey map[string]*Workspace
+	needsKey       bool
 }
 
-// New builds the Table of a revision.
+// New builds the Table of one configuration revision.
 func New(d Config) *Table {
 	t := &Table{
-		revision:   d.Revision,
-		byHost:     map[string][]*Route{},
-		services:   make(map[string]*Service, len(d.Services)),
-		limits:     d.Limits,
-		workspaces: make(map[string]*Workspace, len(d.Keys)),
-		needsKey:   len(d.Workspaces) > 0,
+		revision:       d.Revision,
+		byHost:         map[string][]*Route{},
+		services:       make(map[string]*Service, len(d.Services)),
+		limits:         d.Limits,
+		workspaceByKey: make(map[string]*Workspace, len(d.Keys)),
+		needsKey:       len(d.Workspaces) > 0,
 	}
 	for i := range d.Routes {
 		r := &d.Routes[i]
@@ -130,26 +131,26 @@
 	for i := range d.Services {
 		t.services[d.Services[i].Name] = &d.Services[i]
 	}
-	named := make(map[string]*Workspace, len(d.Workspaces))
+	byName := make(map[string]*Workspace, len(d.Workspaces))
 	for i := range d.Workspaces {
-		named[d.Workspaces[i].Name] = &d.Workspaces[i]
+		byName[d.Workspaces[i].Name] = &d.Workspaces[i]
 	}
 	for key, name := range d.Keys {
-		t.workspaces[key] = named[name]
+		t.workspaceByKey[key] = byName[name]
 	}
 	return t
 }
 
-// Revision returns the revision of the table.
+// Revision returns the revision of the configuration.
 func (t *Table) Revision() uint64 { return t.revision }
 
-// Limits returns the limits on callers.
+// Limits returns the limits on callers' requests.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Route returns the route of a host and an escaped path: of the host's routes the
-// one with the longest prefix that begins the path.
+// Route returns the route for a host and an escaped path: the route of the host with
+// the longest matching path prefix.
 func (t *Table) Route(host, path string) (*Route, bool) {
-	for _, r := range t.byHost[hostName(host)] {
+	for _, r := range t.byHost[normalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
 		}
@@ -157,15 +158,15 @@
 	return nil, false
 }
 
-// hostName is a Host header without port, in lower case.
-func hostName(host string) string {
+// normalizeHost returns a Host header value without port, in lower case.
+func normalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
 	return strings.ToLower(host)
 }
 
-// Service returns a service by its name.
+// Service returns the service with a name.
 func (t *Table) Service(name string) (*Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
@@ -176,6 +177,6 @@
 
 // Workspace returns the workspace of an API key.
 func (t *Table) Workspace(key string) (*Workspace, bool) {
-	w, ok := t.workspaces[key]
+	w, ok := t.workspaceByKey[key]
 	return w, ok && w != nil
 }
--- a/routetable/table_test.go
+++ b/routetable/table_test.go
@@ -7,7 +7,7 @@
 	"github.com/briarturn/briarturn/internal/boottime"
 )
 
-func sample(revision uint64) *Table {
+func newTestTable(revision uint64) *Table {
 	return New(Config{
 		Revision: revision,
 		Routes: []Route{
@@ -23,7 +23,7 @@
 }
 
 func TestLongestPrefixWins(t *testing.T) {
-	table := sample(1)
+	table := newTestTable(1)
 	for _, c := range []struct{ host, path, want string }{
 		{"a.example", "/x/y/z", "deep"},
 		{"a.example:8080", "/x/yy", "x"},
@@ -38,57 +38,55 @@
 	}
 }
 
-func TestKeys(t *testing.T) {
-	table := sample(1)
+func TestAPIKeys(t *testing.T) {
+	table := newTestTable(1)
 	if w, ok := table.Workspace("k"); !ok || w.Name != "w" {
 		t.Errorf("workspace %+v", w)
 	}
 	for _, key := range []string{"", "K", "orphan"} {
 		if _, ok := table.Workspace(key); ok {
-			t.Errorf("key %q is taken", key)
+			t.Errorf("key %q is accepted", key)
 		}
 	}
 	open, _ := table.Route("b.example", "/")
-	shut, _ := table.Route("a.example", "/")
-	if table.NeedsKey(open) || !table.NeedsKey(shut) {
-		t.Error("public routes need no key, all others do")
+	protected, _ := table.Route("a.example", "/")
+	if table.NeedsKey(open) || !table.NeedsKey(protected) {
+		t.Error("NeedsKey must be false for public routes and true for all others")
 	}
 }
 
-// clock is a boottime.Clock that a test moves.
+// clock is a boottime.Clock set by a test.
 type clock struct{ now boottime.Instant }
 
 func (c *clock) read() boottime.Instant { return c.now }
 
-// Symptom: a removed route answers again for a moment.
-// Sequence: the newest configuration is in force; an answer that was on its way for
-// long brings an older one.
-// Cause: whatever came last was taken for newest.
-func TestNeverBackToAnOlderRevision(t *testing.T) {
+// Guards against a removed route being served again for a moment: a delayed answer may
+// carry an older configuration than the one in force, and accepting whatever arrived
+// last would restore it.
+func TestOlderRevisionIsRejected(t *testing.T) {
 	c := &clock{}
 	h := NewHolder(c.read)
 	if _, _, ok := h.Table(); ok {
-		t.Fatal("a table before the first")
+		t.Fatal("an empty Holder returned a table")
 	}
-	if !h.Offer(sample(7), 0) || h.Offer(sample(6), 0) || h.Offer(sample(7), 0) {
-		t.Error("only the newer revision is news")
+	if !h.Offer(newTestTable(7), 0) || h.Offer(newTestTable(6), 0) || h.Offer(newTestTable(7), 0) {
+		t.Error("Offer must return true only for a newer revision")
 	}
 	if table, _, _ := h.Table(); table.Revision() != 7 {
 		t.Errorf("revision %d in force", table.Revision())
 	}
 }
 
-// Symptom: a removed key is accepted five seconds after its removal.
-// Sequence: a watch is asked, the VM is suspended, the watch's answer is read when it
-// wakes; or an old answer is read after a newer one.
-// Cause: the age was counted from when the answer was read, or on a clock that
-// stands still during the suspension.
-func TestAgeCountsFromBeforeTheQuestion(t *testing.T) {
+// Guards against accepting a removed key five seconds after its removal. A watch call
+// starts, the VM is suspended, and the answer is read after the VM resumes, or an old
+// answer is read after a newer one. The age is then too low if it is counted from when
+// the answer was read, or on a clock that stops during the suspension.
+func TestAgeCountsFromTheStartOfTheCall(t *testing.T) {
 	c := &clock{}
 	h := NewHolder(c.read)
 	asked := c.now
-	c.now = c.now.Add(10 * time.Second) // suspended in between
-	h.Offer(sample(1), asked)
+	c.now = c.now.Add(10 * time.Second) // the VM is suspended in between
+	h.Offer(newTestTable(1), asked)
 	if _, age, _ := h.Table(); age != 10*time.Second {
 		t.Errorf("age %v, want 10s", age)
 	}
@@ -100,13 +98,13 @@
 	}
 }
 
-// An older table that is offered proves nothing of the newer one.
-func TestOlderTableProvesNothing(t *testing.T) {
+// Checks that offering an older table doesn't reset the age of the newer one.
+func TestOlderTableDoesNotRefreshAge(t *testing.T) {
 	c := &clock{}
 	h := NewHolder(c.read)
-	h.Offer(sample(2), 0)
+	h.Offer(newTestTable(2), 0)
 	c.now = c.now.Add(time.Second)
-	h.Offer(sample(1), c.now)
+	h.Offer(newTestTable(1), c.now)
 	if _, age, _ := h.Table(); age != time.Second {
 		t.Errorf("age %v, want 1s", age)
 	}
