--- a/peering/doc.go
+++ b/peering/doc.go
@@ -1,9 +1,10 @@
-// Package peering lets entries know of each other's work. Each entry announces
-// itself in the object store, follows the others there, and tells them by datagram
-// of every attempt it makes, so that all place the next one with the same
-// knowledge.
+// Package peering shares the attempts of each entry with all other entries. Each entry
+// announces itself in the object store, follows the other entries there, and sends them
+// a datagram for every attempt that it starts or ends, so that all entries place the
+// next attempt on the same view of the load.
 //
-// Guarantees: nothing here is needed for a correct answer. A lost datagram makes a
-// placement worse for a moment; the beat, which lists the attempts that go on, ends
-// what was missed. An entry that falls silent has its attempts forgotten.
+// Correct answers don't depend on this package. A lost datagram makes placement worse
+// for a moment. The periodic heartbeat lists the active attempts, so that receivers can
+// end attempts whose end they missed. The attempts of an entry that stops sending are
+// dropped after a timeout.
 package peering
--- a/peering/exchange.go
+++ b/peering/exchange.go
@@ -21,140 +21,145 @@
 )
 
 const (
-	// beatEvery is how often an entry lists its attempts that go on.
-	beatEvery = 500 * time.Millisecond
-	// silentAfter is how long an entry must be silent for its attempts to be
-	// forgotten: three beats.
-	silentAfter = 1600 * time.Millisecond
-	// idleBeats is how many beats an entry without attempts lets pass between two that it
-	// sends: where entries are many nearly all of them are idle, and their beats to each
-	// other are most of what they send.
-	idleBeats = 3
-	// idleSilentAfter is silentAfter for one that has said that it is idle: three of
-	// its beats. It has no attempts that would have to be forgotten sooner.
-	idleSilentAfter = 3*idleBeats*beatEvery + 100*time.Millisecond
-	// settleTime is how old an attempt must be for a beat that does not list it to
-	// end it: datagrams may overtake each other.
-	settleTime = 100 * time.Millisecond
-	// PresenceWatchWait is how long a watch of the other entries waits: they change rarely.
+	// heartbeatInterval is how often an entry sends the list of its active attempts.
+	heartbeatInterval = 500 * time.Millisecond
+	// peerTimeout is the time without a message from a peer after which its attempts
+	// are dropped: three heartbeats.
+	peerTimeout = 1600 * time.Millisecond
+	// idleHeartbeatEvery makes an entry without attempts send only every third heartbeat.
+	// In a large fleet nearly all entries are idle, and their heartbeats to each other
+	// are most of the traffic.
+	idleHeartbeatEvery = 3
+	// idlePeerTimeout replaces peerTimeout for a peer whose last heartbeat listed no
+	// attempts: three of its heartbeats. An idle peer has no attempts that would have to
+	// be dropped earlier.
+	idlePeerTimeout = 3*idleHeartbeatEvery*heartbeatInterval + 100*time.Millisecond
+	// reorderTolerance is the minimum age of an attempt that a heartbeat may end by not
+	// listing it. Datagrams can arrive out of order.
+	reorderTolerance = 100 * time.Millisecond
+	// PresenceWatchWait is how long one watch of the entries' presence objects waits for a
+	// change. They change rarely.
 	PresenceWatchWait = 10 * time.Second
 )
 
-// Config sets up an Exchange.
+// Config holds the settings and dependencies of an Exchange.
 type Config struct {
-	Name          string // the VM's
-	ListenAddress string // datagrams, IP:PORT
-	RPCAddress    string // where peers find this entry's drpc services; empty: it has none
+	Name          string // name of the VM
+	ListenAddress string // bind address for datagrams, IP:PORT
+	RPCAddress    string // IP:PORT of this entry's drpc services; empty if it has none
 	Incarnation   uint64
 	Zone          string
 	Region        string
-	LinkMbps      int // of the VM; 0: not known
+	LinkMbps      int // link capacity of the VM in Mbit/s; 0 if unknown
 	Store         objectapi.Store
 	Ledger        *placement.Ledger
 	Quarantine    *quarantine.Book
-	// OnEntriesChanged is told the names of all entries, this one included, and whether the object
-	// API has listed them once: before that only some are known.
+	// OnEntriesChanged is called with the names of all known entries, including this one,
+	// and with whether the object API has listed them at least once. Before the first
+	// listing the names may be incomplete.
 	OnEntriesChanged func(names []string, listed bool)
 	Log              logrus.FieldLogger
 	Metrics          metrics.Registry
 }
 
-// Exchange is one entry's end of the exchange. Make it with Start.
+// Exchange sends this entry's attempts to its peers and records the attempts that they
+// report. Start creates it.
 type Exchange struct {
-	cfg       Config
-	outbox    *outbox
-	roster    *roster
-	datagrams *wire.Datagrams
-	heard     metrics.Counter
-	failed    metrics.Counter
+	cfg          Config
+	outbox       *outbox
+	presences    *presenceSink
+	datagrams    *wire.Datagrams
+	received     metrics.Counter
+	sendFailures metrics.Counter
 
-	own     presence // set before the goroutines begin that use it
-	started time.Time
-	greeted chan struct{} // holds one token while a peer's own word isn't taken yet
+	ownPresence   presence // set before the goroutines that use it start
+	started       time.Time
+	helloReceived chan struct{} // holds one token while a received hello is not yet processed
 
-	mu     sync.Mutex // guards what follows
-	listed []Peer     // by the object API
-	hellos map[string]introduced
-	peers  []Peer               // of both, in order of rank
-	last   map[uint64]time.Time // by incarnation, when an entry was last heard
-	idle   map[uint64]bool      // those that had no attempts then
+	mu          sync.Mutex // guards what follows
+	listedPeers []Peer     // as listed by the object API
+	hellos      map[string]receivedHello
+	peers       []Peer               // listedPeers merged with hellos, ordered by compareRank
+	lastSeen    map[uint64]time.Time // time of the last message, by incarnation
+	idlePeers   map[uint64]bool      // incarnations without attempts at their last heartbeat
 
-	passing chan *wirepb.WorkNews // to be passed on to the own zone
-	dropped metrics.Counter       // of those that came faster than they were passed on
+	relayQueue    chan *wirepb.WorkNews // messages to forward within the own zone
+	relaysDropped metrics.Counter       // messages dropped because relayQueue was full
 }
 
-// Start binds the datagram address and begins to exchange until ctx ends.
+// Start binds the datagram address and starts the exchange, which runs until ctx ends.
 func Start(ctx context.Context, cfg Config) (*Exchange, error) {
 	x := &Exchange{
-		cfg:     cfg,
-		outbox:  newOutbox(cfg.Incarnation),
-		heard:   metrics.GetOrRegisterCounter("peering.news.heard", cfg.Metrics),
-		failed:  metrics.GetOrRegisterCounter("peering.news.send_failed", cfg.Metrics),
-		last:    map[uint64]time.Time{},
-		idle:    map[uint64]bool{},
-		passing: make(chan *wirepb.WorkNews, passingMost),
-		dropped: metrics.GetOrRegisterCounter("peering.news.pass_dropped", cfg.Metrics),
-		hellos:  map[string]introduced{},
-		greeted: make(chan struct{}, 1),
-		started: time.Now(),
+		cfg:           cfg,
+		outbox:        newOutbox(cfg.Incarnation),
+		received:      metrics.GetOrRegisterCounter("peering.news.heard", cfg.Metrics),
+		sendFailures:  metrics.GetOrRegisterCounter("peering.news.send_failed", cfg.Metrics),
+		lastSeen:      map[uint64]time.Time{},
+		idlePeers:     map[uint64]bool{},
+		relayQueue:    make(chan *wirepb.WorkNews, relayQueueSize),
+		relaysDropped: metrics.GetOrRegisterCounter("peering.news.pass_dropped", cfg.Metrics),
+		hellos:        map[string]receivedHello{},
+		helloReceived: make(chan struct{}, 1),
+		started:       time.Now(),
 	}
-	x.roster = newRoster(cfg.Name, cfg.Log, x.setPeers)
+	x.presences = newPresenceSink(cfg.Name, cfg.Log, x.setPeers)
 	datagrams, err := wire.ListenDatagrams(wire.DatagramConfig{
-		Address: cfg.ListenAddress, Handler: x.hear, Log: cfg.Log, Metrics: cfg.Metrics,
+		Address: cfg.ListenAddress, Handler: x.handleDatagram, Log: cfg.Log, Metrics: cfg.Metrics,
 	})
 	if err != nil {
 		return nil, errors.Annotate(err, "step start exchange with peers")
 	}
 	x.datagrams = datagrams
-	x.own = presence{
+	x.ownPresence = presence{
 		DatagramAddress: datagrams.Addr().String(), RPCAddress: cfg.RPCAddress, Incarnation: cfg.Incarnation, Zone: cfg.Zone, Region: cfg.Region,
 		LinkMbps: cfg.LinkMbps, Relays: true,
 	}
-	go x.passOn(ctx)
-	go announce(ctx, cfg.Store, cfg.Name, x.own, x.roster, cfg.Log)
-	go x.send(ctx)
-	go x.beat(ctx)
-	go x.welcome(ctx)
+	go x.relayLoop(ctx)
+	go announce(ctx, cfg.Store, cfg.Name, x.ownPresence, x.presences, cfg.Log)
+	go x.publishLoop(ctx)
+	go x.heartbeatLoop(ctx)
+	go x.helloLoop(ctx)
 	return x, nil
 }
 
-// AttemptPublisher returns what the entry's planner tells of its attempts.
+// AttemptPublisher returns the publisher to which the entry's planner reports attempts.
 func (x *Exchange) AttemptPublisher() placement.Teller { return x.outbox }
 
-// DeathReporter returns what the entry's gateway tells of servers that died.
+// DeathReporter returns the reporter to which the entry's gateway reports server deaths.
 func (x *Exchange) DeathReporter() gateway.Witness { return x.outbox }
 
-// Close ends the datagrams.
+// Close closes the datagram socket.
 func (x *Exchange) Close() error { return errors.Trace(x.datagrams.Close()) }
 
-// PresenceSink returns the sink that is to be told of the objects of KindGateway.
-func (x *Exchange) PresenceSink() objectapi.Sink { return x.roster }
+// PresenceSink returns the sink for objects of KindGateway.
+func (x *Exchange) PresenceSink() objectapi.Sink { return x.presences }
 
-// setPeers takes the entries that the object API lists.
+// setPeers stores the entries that the object API lists and updates the peers.
 func (x *Exchange) setPeers(listed []Peer) {
 	x.mu.Lock()
-	x.listed = listed
+	x.listedPeers = listed
 	x.mu.Unlock()
-	x.update(time.Now())
+	x.updatePeers(time.Now())
 }
 
-// update puts together who the peers are, and greets those that are new.
-func (x *Exchange) update(now time.Time) {
+// updatePeers merges the listed entries with the received hellos and sends the active
+// attempts to new peers.
+func (x *Exchange) updatePeers(now time.Time) {
 	x.mu.Lock()
 	known := map[uint64]bool{}
 	for _, p := range x.peers {
 		known[p.Incarnation] = true
 	}
-	peers := withHellos(x.listed, x.hellos, now)
+	peers := mergeHellos(x.listedPeers, x.hellos, now)
 	slices.SortFunc(peers, compareRank)
 	x.peers = peers
 	x.mu.Unlock()
-	x.cfg.OnEntriesChanged(x.names(peers), x.roster.hasListed())
-	x.greet(slices.DeleteFunc(slices.Clone(peers), func(p Peer) bool { return known[p.Incarnation] }), now)
+	x.cfg.OnEntriesChanged(x.entryNames(peers), x.presences.hasListed())
+	x.syncNewPeers(slices.DeleteFunc(slices.Clone(peers), func(p Peer) bool { return known[p.Incarnation] }), now)
 }
 
-// names returns the names of peers and the own.
-func (x *Exchange) names(peers []Peer) []string {
+// entryNames returns the names of this entry and of peers.
+func (x *Exchange) entryNames(peers []Peer) []string {
 	out := []string{x.cfg.Name}
 	for _, p := range peers {
 		out = append(out, p.Name)
@@ -162,79 +167,83 @@
 	return out
 }
 
-// send passes news on as it comes.
-func (x *Exchange) send(ctx context.Context) {
+// publishLoop broadcasts the contents of the outbox until ctx ends. Attempt starts and
+// server deaths go out at once; other updates wait for batchDelay.
+func (x *Exchange) publishLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-x.outbox.wake:
 		}
-		if !x.outbox.urgent() && !sleep.For(ctx, batchTime) {
+		if !x.outbox.urgent() && !sleep.For(ctx, batchDelay) {
 			return
 		}
-		for _, m := range x.outbox.take(time.Now()) {
-			x.tell(m)
+		for _, m := range x.outbox.drain(time.Now()) {
+			x.broadcast(m)
 		}
 	}
 }
 
-func (x *Exchange) beat(ctx context.Context) {
-	var rest idleRest
-	for sleep.For(ctx, beatEvery) {
-		x.forgetSilent(time.Now())
-		// Before the list is taken: what begins meanwhile may or may not be in it.
-		m := &wirepb.WorkNews{Owner: x.cfg.Incarnation, Beat: true, UpTo: x.outbox.newest()}
+// heartbeatLoop sends the list of active attempts at each heartbeatInterval and drops the
+// attempts of peers that timed out, until ctx ends.
+func (x *Exchange) heartbeatLoop(ctx context.Context) {
+	var throttle idleThrottle
+	for sleep.For(ctx, heartbeatInterval) {
+		x.expirePeers(time.Now())
+		// UpTo is read before the list: an attempt that starts in between may or may not
+		// be listed.
+		m := &wirepb.WorkNews{Owner: x.cfg.Incarnation, Beat: true, UpTo: x.outbox.lastSeq()}
 		for _, w := range x.cfg.Ledger.Active(x.cfg.Incarnation) {
 			m.Active = append(m.Active, w.ID.Seq)
 		}
-		// More than fit are not listed; without the mark of a whole list nobody
-		// ends what is missing.
-		if len(m.Active) > maxBeat {
+		// A list that doesn't fit a datagram is left out. With Beat unset, receivers don't
+		// end attempts that aren't listed.
+		if len(m.Active) > maxHeartbeatSeqs {
 			m.Active, m.Beat = nil, false
 		}
 		m.Hello = x.hello(time.Now())
-		if rest.skips(m.Beat && len(m.Active) == 0 && m.Hello == nil) {
+		if throttle.skip(m.Beat && len(m.Active) == 0 && m.Hello == nil) {
 			continue
 		}
-		x.tell(m)
+		x.broadcast(m)
 	}
 }
 
-// idleRest counts the beats in a row of an entry without attempts.
-type idleRest struct{ beats int }
+// idleThrottle counts consecutive heartbeats of an entry without attempts.
+type idleThrottle struct{ consecutive int }
 
-// skips reports whether a beat may be left out. The first idle one is sent: it tells of
-// ends whose news were lost.
-func (r *idleRest) skips(idle bool) bool {
+// skip reports whether a heartbeat can be skipped. The first idle heartbeat is always
+// sent, because it ends attempts at peers that missed the messages about their ends.
+func (t *idleThrottle) skip(idle bool) bool {
 	if !idle {
-		r.beats = 0
+		t.consecutive = 0
 		return false
 	}
-	r.beats++
-	return (r.beats-1)%idleBeats != 0
+	t.consecutive++
+	return (t.consecutive-1)%idleHeartbeatEvery != 0
 }
 
-// silentLocked reports whether an entry hasn't been heard for too long.
-func (x *Exchange) silentLocked(owner uint64, now time.Time) bool {
-	at, heard := x.last[owner]
-	limit := silentAfter
-	if x.idle[owner] {
-		limit = idleSilentAfter
+// timedOutLocked reports whether the last message of an entry is older than its timeout.
+func (x *Exchange) timedOutLocked(owner uint64, now time.Time) bool {
+	at, seen := x.lastSeen[owner]
+	limit := peerTimeout
+	if x.idlePeers[owner] {
+		limit = idlePeerTimeout
 	}
-	return !heard || now.Sub(at) > limit
+	return !seen || now.Sub(at) > limit
 }
 
-// forgetSilent drops the attempts of entries that are gone: their servers would
-// look busy for ever.
-func (x *Exchange) forgetSilent(now time.Time) {
+// expirePeers drops the attempts of peers that timed out. Otherwise their servers would
+// look busy forever.
+func (x *Exchange) expirePeers(now time.Time) {
 	var silent []uint64
 	x.mu.Lock()
-	for owner := range x.last {
-		if x.silentLocked(owner, now) {
+	for owner := range x.lastSeen {
+		if x.timedOutLocked(owner, now) {
 			silent = append(silent, owner)
-			delete(x.last, owner)
-			delete(x.idle, owner)
+			delete(x.lastSeen, owner)
+			delete(x.idlePeers, owner)
 		}
 	}
 	x.mu.Unlock()
@@ -244,7 +253,7 @@
 	}
 }
 
-func (x *Exchange) sendAll(m *wirepb.WorkNews) {
+func (x *Exchange) sendToAll(m *wirepb.WorkNews) {
 	x.mu.Lock()
 	peers := x.peers
 	x.mu.Unlock()
@@ -256,38 +265,39 @@
 func (x *Exchange) sendTo(to netip.AddrPort, m *wirepb.WorkNews) {
 	err := x.datagrams.Send(to, &wirepb.Datagram{Body: &wirepb.Datagram_Work{Work: m}})
 	if err != nil {
-		// The next beat makes up for it; a line for each would flood the log of an
-		// entry that is cut off.
-		x.failed.Inc(1)
+		// The next heartbeat repairs the loss. A log line for each failure would flood the
+		// log of an entry that is cut off from its peers.
+		x.sendFailures.Inc(1)
 	}
 }
 
-// hear takes a datagram of a peer.
-func (x *Exchange) hear(_ netip.AddrPort, d *wirepb.Datagram) {
+// handleDatagram applies a datagram from a peer to the ledger and the quarantine tracker.
+// It runs on the event loop of the datagram socket.
+func (x *Exchange) handleDatagram(_ netip.AddrPort, d *wirepb.Datagram) {
 	m := d.GetWork()
 	if m == nil || m.GetOwner() == x.cfg.Incarnation {
 		return
 	}
-	x.heard.Inc(1)
+	x.received.Inc(1)
 	now := time.Now()
 	owner := m.GetOwner()
 	x.mu.Lock()
-	x.last[owner] = now
+	x.lastSeen[owner] = now
 	switch {
 	case len(m.GetBegan()) > 0 || len(m.GetActive()) > 0:
-		delete(x.idle, owner)
+		delete(x.idlePeers, owner)
 	case m.GetBeat():
-		x.idle[owner] = true
+		x.idlePeers[owner] = true
 	}
 	x.mu.Unlock()
 	if m.GetPassOn() {
-		x.toPassOn(m)
+		x.enqueueRelay(m)
 	}
 	if h := m.GetHello(); h != nil {
-		x.hearHello(h, now)
+		x.handleHello(h, now)
 	}
 	for _, b := range m.GetBegan() {
-		x.cfg.Ledger.Begin(decode(owner, b, now), now)
+		x.cfg.Ledger.Begin(decodeAttempt(owner, b, now), now)
 	}
 	for _, seq := range m.GetFirstToken() {
 		x.cfg.Ledger.FirstToken(placement.WorkID{Owner: owner, Seq: seq}, now)
@@ -297,6 +307,6 @@
 	}
 	wire.LearnEvidence(x.cfg.Quarantine, m.GetEvidence(), now)
 	if m.GetBeat() {
-		x.cfg.Ledger.Keep(owner, m.GetActive(), m.GetUpTo(), now.Add(-settleTime))
+		x.cfg.Ledger.Keep(owner, m.GetActive(), m.GetUpTo(), now.Add(-reorderTolerance))
 	}
 }
--- a/peering/exchange_test.go
+++ b/peering/exchange_test.go
@@ -16,32 +16,32 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// entry is one end of an exchange over loopback.
+// entry is an Exchange over loopback with its ledger and quarantine tracker.
 type entry struct {
-	exchange *Exchange
-	ledger   *placement.Ledger
-	suspects *quarantine.Book
-	stop     context.CancelFunc
-	entries  chan int
+	exchange    *Exchange
+	ledger      *placement.Ledger
+	quarantine  *quarantine.Book
+	stop        context.CancelFunc
+	entryCounts chan int
 }
 
 func startEntry(t *testing.T, store objectapi.Store, name string, incarnation uint64) *entry {
 	t.Helper()
-	return startEntryIn(t, store, name, incarnation, "")
+	return startEntryInZone(t, store, name, incarnation, "")
 }
 
-func startEntryIn(t *testing.T, store objectapi.Store, name string, incarnation uint64, zone string) *entry {
+func startEntryInZone(t *testing.T, store objectapi.Store, name string, incarnation uint64, zone string) *entry {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
 	e := &entry{
-		ledger:   placement.NewLedger(func(uint64) *placement.Engine { return nil }),
-		suspects: quarantine.NewBook(quarantine.DefaultOptions),
-		stop:     stop,
-		entries:  make(chan int, 64),
+		ledger:      placement.NewLedger(func(uint64) *placement.Engine { return nil }),
+		quarantine:  quarantine.NewBook(quarantine.DefaultOptions),
+		stop:        stop,
+		entryCounts: make(chan int, 64),
 	}
 	x, err := Start(ctx, Config{
-		Name: name, Zone: zone, ListenAddress: "127.0.0.1:0", Incarnation: incarnation, Store: store, Ledger: e.ledger, Quarantine: e.suspects,
-		OnEntriesChanged: func(names []string, _ bool) { e.entries <- len(names) }, Log: quiet.Logger(), Metrics: metrics.NewRegistry(),
+		Name: name, Zone: zone, ListenAddress: "127.0.0.1:0", Incarnation: incarnation, Store: store, Ledger: e.ledger, Quarantine: e.quarantine,
+		OnEntriesChanged: func(names []string, _ bool) { e.entryCounts <- len(names) }, Log: quiet.Logger(), Metrics: metrics.NewRegistry(),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -52,18 +52,18 @@
 	return e
 }
 
-// await asks until ok, for a minute at most.
-func await(t *testing.T, what string, ok func() bool) {
+// waitFor polls ok until it returns true, for at most a minute.
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain: %s", what)
+			t.Fatalf("timed out waiting: %s", what)
 		}
 	}
 }
 
-// begin notes a work on an entry and tells the others, as a planner does.
-func (e *entry) begin(owner, seq uint64) placement.Work {
+// startAttempt records an attempt in the entry's ledger and publishes it, as a planner does.
+func (e *entry) startAttempt(owner, seq uint64) placement.Work {
 	w := placement.Work{
 		ID: placement.WorkID{Owner: owner, Seq: seq}, Server: 7, Helpers: []uint64{8, 9}, Part: time.Second, PartTokens: 10,
 		Memory: 20, Pause: time.Second, Weight: 3, Holders: []uint64{7, 8}, HolderMemory: 11,
@@ -73,159 +73,156 @@
 	return w
 }
 
-func (e *entry) knows(owner uint64) int { return len(e.ledger.Active(owner)) }
+func (e *entry) attemptsOf(owner uint64) int { return len(e.ledger.Active(owner)) }
 
-func TestEntriesHearOfEachOthersWork(t *testing.T) {
+func TestAttemptsReachOtherEntries(t *testing.T) {
 	store := memory.NewMemory(memory.Config{})
 	a, b := startEntry(t, store, "a", 1), startEntry(t, store, "b", 2)
-	await(t, "both found each other", func() bool { return <-a.entries == 2 })
-	await(t, "both found each other", func() bool { return <-b.entries == 2 })
-	w := a.begin(1, 1)
-	await(t, "b hears what began", func() bool { return b.knows(1) == 1 })
+	waitFor(t, "a found b", func() bool { return <-a.entryCounts == 2 })
+	waitFor(t, "b found a", func() bool { return <-b.entryCounts == 2 })
+	w := a.startAttempt(1, 1)
+	waitFor(t, "b receives the start", func() bool { return b.attemptsOf(1) == 1 })
 	if got := b.ledger.Active(1)[0]; got.Server != w.Server || got.Memory != w.Memory || got.HolderMemory != w.HolderMemory || len(got.Holders) != 2 {
-		t.Errorf("b knows %+v", got)
+		t.Errorf("b received %+v", got)
 	}
 	a.ledger.FirstToken(w.ID, time.Now())
 	a.exchange.AttemptPublisher().FirstToken(w.ID)
-	await(t, "b hears of the first token", func() bool { return b.ledger.Active(1)[0].Writing })
+	waitFor(t, "b receives the first token", func() bool { return b.ledger.Active(1)[0].Writing })
 	a.ledger.End(w.ID)
 	a.exchange.AttemptPublisher().Ended(w.ID)
-	await(t, "b hears of the end", func() bool { return b.knows(1) == 0 })
+	waitFor(t, "b receives the end", func() bool { return b.attemptsOf(1) == 0 })
 }
 
-// Symptom: an entry that starts anew places its first prompts on busy engines.
-// Sequence: others have work in progress; an entry starts.
-// Cause: news tell of changes only.
-func TestNewEntryHearsOfWorkInProgress(t *testing.T) {
+// Guards against a starting entry that places its first prompts on busy engines, because
+// its peers send only changes and not the attempts that are already active.
+func TestNewEntryReceivesActiveAttempts(t *testing.T) {
 	store := memory.NewMemory(memory.Config{})
 	a := startEntry(t, store, "a", 1)
 	for seq := range uint64(10) {
-		a.begin(1, seq+1)
+		a.startAttempt(1, seq+1)
 	}
 	b := startEntry(t, store, "b", 2)
-	await(t, "b knows all", func() bool { return b.knows(1) == 10 })
+	waitFor(t, "b received all attempts", func() bool { return b.attemptsOf(1) == 10 })
 }
 
-// Symptom: an entry that starts places its first prompts on busy engines, for half a
-// second. Sequence: others have work in progress; an entry starts that has listed them;
-// the object API tells them of it later. Cause: until then nobody sends it anything.
-func TestStartedEntryIsToldByThoseThatItKnows(t *testing.T) {
+// Guards against a starting entry that places prompts on busy engines for half a second:
+// it has listed its peers, but the object API lists it to them only later, and until then
+// they send it nothing.
+func TestHelloTriggersSyncBeforeListing(t *testing.T) {
 	store := memory.NewMemory(memory.Config{})
 	a := startEntry(t, store, "a", 1)
-	await(t, "a is listed", func() bool {
+	waitFor(t, "a is listed", func() bool {
 		l, err := store.List(t.Context(), KindGateway, "")
 		return err == nil && len(l.Objects) == 1
 	})
 	for seq := range uint64(10) {
-		a.begin(1, seq+1)
+		a.startAttempt(1, seq+1)
 	}
 	listed, err := store.List(t.Context(), KindGateway, "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	// What b writes of itself goes to another store, so that a hears of it from b alone.
+	// b announces itself in another store, so that a finds b only through its hello.
 	b := startEntry(t, memory.NewMemory(memory.Config{}), "b", 2)
 	b.exchange.PresenceSink().Snapshot(KindGateway, listed)
-	await(t, "b knows all", func() bool { return b.knows(1) == 10 })
-	await(t, "a counts b", func() bool { return <-a.entries == 2 })
+	waitFor(t, "b received all attempts", func() bool { return b.attemptsOf(1) == 10 })
+	waitFor(t, "a found b", func() bool { return <-a.entryCounts == 2 })
 }
 
-// Symptom: an entry's news go to a process that is gone. Sequence: it says who it is;
-// the object API lists it in an earlier life, then in that one, then in a later one.
-// Cause: the list, or the own word, always goes first.
-func TestOwnWordStandsUntilTheListHasIt(t *testing.T) {
+// Guards against sending updates to a process that is gone, because the listing or the
+// hello always takes precedence. The object API lists an entry under the incarnation before
+// its hello, then under that of its hello, then under a later one.
+func TestHelloOverridesListingUntilListed(t *testing.T) {
 	now := time.Now()
-	life := func(incarnation uint64) Peer { return Peer{Name: "b", Incarnation: incarnation} }
-	hellos := map[string]introduced{"b": {peer: life(2), at: now}}
+	withIncarnation := func(incarnation uint64) Peer { return Peer{Name: "b", Incarnation: incarnation} }
+	hellos := map[string]receivedHello{"b": {peer: withIncarnation(2), receivedAt: now}}
 	for i, step := range []struct {
 		listed []Peer
 		after  time.Duration
 		want   uint64
 	}{
 		{nil, 0, 2},
-		{[]Peer{life(1)}, time.Second, 2},
-		{[]Peer{life(2)}, 2 * time.Second, 2},
-		{[]Peer{life(3)}, 3 * time.Second, 3},
+		{[]Peer{withIncarnation(1)}, time.Second, 2},
+		{[]Peer{withIncarnation(2)}, 2 * time.Second, 2},
+		{[]Peer{withIncarnation(3)}, 3 * time.Second, 3},
 	} {
-		got := withHellos(step.listed, hellos, now.Add(step.after))
+		got := mergeHellos(step.listed, hellos, now.Add(step.after))
 		if len(got) != 1 || got[0].Incarnation != step.want {
 			t.Errorf("step %d: %+v, want incarnation %d", i, got, step.want)
 		}
 	}
-	hellos["c"] = introduced{peer: Peer{Name: "c", Incarnation: 9}, at: now}
-	if got := withHellos(nil, hellos, now.Add(helloKept+time.Second)); len(got) != 0 || len(hellos) != 0 {
-		t.Errorf("kept for ever: %+v", got)
+	hellos["c"] = receivedHello{peer: Peer{Name: "c", Incarnation: 9}, receivedAt: now}
+	if got := mergeHellos(nil, hellos, now.Add(helloTTL+time.Second)); len(got) != 0 || len(hellos) != 0 {
+		t.Errorf("hello not expired: %+v", got)
 	}
 }
 
-// Symptom: engines look busy for as long as an entry lives.
-// Sequence: the datagram that tells of an end is lost.
-// Cause: nothing makes up for a lost one. The beat does.
-func TestBeatMakesUpForLostNews(t *testing.T) {
+// Guards against engines that look busy for as long as an entry lives, because the datagram
+// about the end of an attempt was lost. The heartbeat has to repair the loss.
+func TestHeartbeatRepairsLostUpdate(t *testing.T) {
 	store := memory.NewMemory(memory.Config{})
 	a, b := startEntry(t, store, "a", 1), startEntry(t, store, "b", 2)
-	await(t, "both found each other", func() bool { return <-a.entries == 2 })
-	w := a.begin(1, 1)
-	await(t, "b hears what began", func() bool { return b.knows(1) == 1 })
-	a.ledger.End(w.ID) // and nobody is told
-	await(t, "b notices by the beat", func() bool { return b.knows(1) == 0 })
+	waitFor(t, "a found b", func() bool { return <-a.entryCounts == 2 })
+	w := a.startAttempt(1, 1)
+	waitFor(t, "b receives the start", func() bool { return b.attemptsOf(1) == 1 })
+	a.ledger.End(w.ID) // without publishing it
+	waitFor(t, "b ends the attempt after a heartbeat", func() bool { return b.attemptsOf(1) == 0 })
 }
 
-func TestSilentEntrysWorkIsForgotten(t *testing.T) {
+func TestAttemptsOfSilentEntryExpire(t *testing.T) {
 	store := memory.NewMemory(memory.Config{})
 	a, b := startEntry(t, store, "a", 1), startEntry(t, store, "b", 2)
-	await(t, "both found each other", func() bool { return <-a.entries == 2 })
-	a.begin(1, 1)
-	await(t, "b hears what began", func() bool { return b.knows(1) == 1 })
+	waitFor(t, "a found b", func() bool { return <-a.entryCounts == 2 })
+	a.startAttempt(1, 1)
+	waitFor(t, "b receives the start", func() bool { return b.attemptsOf(1) == 1 })
 	a.stop()
-	await(t, "b notices the silence", func() bool { return b.knows(1) == 0 })
+	waitFor(t, "b drops the attempts of the silent entry", func() bool { return b.attemptsOf(1) == 0 })
 }
 
-func TestDeathsAreKnownToAll(t *testing.T) {
+func TestServerDeathsReachOtherEntries(t *testing.T) {
 	store := memory.NewMemory(memory.Config{})
 	a, b := startEntry(t, store, "a", 1), startEntry(t, store, "b", 2)
-	await(t, "both found each other", func() bool { return <-a.entries == 2 })
+	waitFor(t, "a found b", func() bool { return <-a.entryCounts == 2 })
 	for death := range uint64(quarantine.DefaultOptions.Deaths) {
-		record, _ := a.suspects.Died(5, death+1, time.Now())
+		record, _ := a.quarantine.Died(5, death+1, time.Now())
 		a.exchange.DeathReporter().Died(record)
 	}
-	await(t, "b refuses it", func() bool { return b.suspects.Verdict(5, time.Now()) == quarantine.Refuse })
+	waitFor(t, "b refuses the fingerprint", func() bool { return b.quarantine.Verdict(5, time.Now()) == quarantine.Refuse })
 }
 
-// Symptom: an entry that restarted is not found by the others.
-// Sequence: it dies without a word and starts at another address under its name.
-// Cause: its old presence stood in the way of the new one.
+// Guards against a restarted entry that its peers don't find: it was killed and starts at
+// another address under the same name, and its old presence object blocks the new one.
 func TestRestartedEntryIsFound(t *testing.T) {
 	store := memory.NewMemory(memory.Config{})
 	a := startEntry(t, store, "a", 1)
 	old := startEntry(t, store, "b", 2)
-	await(t, "both found each other", func() bool { return <-a.entries == 2 })
+	waitFor(t, "a found b", func() bool { return <-a.entryCounts == 2 })
 	old.stop()
 	b := startEntry(t, store, "b", 3)
-	a.begin(1, 1)
-	await(t, "the restarted one hears", func() bool { return b.knows(1) == 1 })
+	a.startAttempt(1, 1)
+	waitFor(t, "the restarted entry receives the attempt", func() bool { return b.attemptsOf(1) == 1 })
 }
 
-func TestPackFitsDatagrams(t *testing.T) {
+func TestPackedMessagesFitDatagrams(t *testing.T) {
 	var began []placement.Work
 	var ended []uint64
 	for seq := range uint64(300) {
 		began = append(began, placement.Work{ID: placement.WorkID{Owner: 1, Seq: seq + 1<<30}, Server: 1, Helpers: make([]uint64, 15), Holders: make([]uint64, 8)})
 		ended = append(ended, seq+1<<40)
 	}
-	messages := pack(1, began, ended, ended, time.Now())
+	messages := packMessages(1, began, ended, ended, time.Now())
 	total := 0
 	for _, m := range messages {
-		if n := sizeOf(m); n > 1200 {
+		if n := datagramSize(m); n > 1200 {
 			t.Fatalf("%d bytes", n)
 		}
 		total += len(m.GetBegan()) + len(m.GetEnded())
 	}
 	if total != 600 {
-		t.Errorf("%d pieces of news, want 600", total)
+		t.Errorf("%d updates, want 600", total)
 	}
 }
 
-func sizeOf(m *wirepb.WorkNews) int {
+func datagramSize(m *wirepb.WorkNews) int {
 	return proto.Size(&wirepb.Datagram{Body: &wirepb.Datagram_Work{Work: m}})
 }
--- a/peering/hello.go
+++ b/peering/hello.go
@@ -10,39 +10,40 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// An entry that starts knows the others from one list of the object API; they would know
-// of it half a second later, from their readers. Until then they send it nothing: it
-// places its first prompts on servers that they keep busy, and takes itself for alone.
-// After all entries of a few zones were killed that is when most callers come at once.
-// So it says itself who it is, and is told of all attempts that go on.
+// An entry that starts finds its peers in one listing of the object API, but the peers find
+// it only half a second later, through their readers. Until then they send it nothing, so
+// that it would place its first prompts on busy servers and assume that it is the only
+// entry. After all entries of several zones were killed, most callers arrive in just that
+// time. A starting entry therefore sends a hello to its peers, and each peer answers with
+// all its active attempts.
 const (
-	// helloTime is how long after its start an entry says who it is with each beat:
-	// three or four times, since datagrams are lost.
-	helloTime = 2 * time.Second
-	// helloKept is how long a peer is kept that only its own word tells of. The object
-	// API tells of it within seconds, unless that is away.
-	helloKept = 30 * time.Second
+	// helloPeriod is the time after the start of an entry in which each heartbeat carries
+	// a hello: three or four hellos, because datagrams can be lost.
+	helloPeriod = 2 * time.Second
+	// helloTTL is how long a peer is kept that is known only from its hello. The object
+	// API lists it within seconds, unless the object API is unavailable.
+	helloTTL = 30 * time.Second
 )
 
-// introduced is a peer that said itself who it is.
-type introduced struct {
-	peer Peer
-	at   time.Time
+// receivedHello is a peer that announced itself by a hello.
+type receivedHello struct {
+	peer       Peer
+	receivedAt time.Time
 }
 
-// message is what an entry says of itself.
-func (p presence) message(name string) *wirepb.Peer {
+// helloMessage returns the hello that announces an entry to its peers.
+func (p presence) helloMessage(name string) *wirepb.Peer {
 	return &wirepb.Peer{
 		Name: name, DatagramAddress: p.DatagramAddress, RpcAddress: p.RPCAddress, Zone: p.Zone, Region: p.Region,
 		Incarnation: p.Incarnation, LinkMbps: uint32(max(p.LinkMbps, 0)), Relays: p.Relays,
 	}
 }
 
-// hearHello notes the word of an entry that started.
-func (x *Exchange) hearHello(m *wirepb.Peer, now time.Time) {
+// handleHello records the hello of a peer and wakes helloLoop.
+func (x *Exchange) handleHello(m *wirepb.Peer, now time.Time) {
 	address, err := netip.ParseAddrPort(m.GetDatagramAddress())
 	if err != nil {
-		x.cfg.Log.WithError(err).Warn("a peer's own word can't be read") // its address was checked before
+		x.cfg.Log.WithError(err).Warn("invalid hello from peer") // wire.Check has already checked the address
 		return
 	}
 	peer := Peer{
@@ -50,33 +51,34 @@
 		LinkMbps: int(m.GetLinkMbps()), Relays: m.GetRelays(), Incarnation: m.GetIncarnation(),
 	}
 	x.mu.Lock()
-	x.hellos[peer.Name] = introduced{peer: peer, at: now}
+	x.hellos[peer.Name] = receivedHello{peer: peer, receivedAt: now}
 	x.mu.Unlock()
 	select {
-	case x.greeted <- struct{}{}:
-	default: // a token is there already
+	case x.helloReceived <- struct{}{}:
+	default: // a wake-up is already pending
 	}
 }
 
-// welcome takes peers' own words as they come, apart from the event loop of the
-// datagrams, which must not wait for what is sent.
-func (x *Exchange) welcome(ctx context.Context) {
+// helloLoop updates the peers after each received hello, until ctx ends. It runs outside
+// the event loop of the datagram socket, which must not block on sends.
+func (x *Exchange) helloLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-x.greeted:
-			x.update(time.Now())
+		case <-x.helloReceived:
+			x.updatePeers(time.Now())
 		}
 	}
 }
 
-// withHellos returns the listed peers with those in place that said themselves who they
-// are. The own word of an entry is newer than a list that has it in another life.
-func withHellos(listed []Peer, hellos map[string]introduced, now time.Time) []Peer {
+// mergeHellos returns the listed peers, replaced or extended by the peers that sent a
+// hello. A hello is newer than a listing that has the entry under another incarnation.
+// Hellos that are listed or older than helloTTL are deleted.
+func mergeHellos(listed []Peer, hellos map[string]receivedHello, now time.Time) []Peer {
 	var out []Peer
 	for _, p := range listed {
-		if h, ok := hellos[p.Name]; ok && h.peer.Incarnation == p.Incarnation || ok && now.Sub(h.at) > helloKept {
+		if h, ok := hellos[p.Name]; ok && h.peer.Incarnation == p.Incarnation || ok && now.Sub(h.receivedAt) > helloTTL {
 			delete(hellos, p.Name)
 		}
 		if _, ok := hellos[p.Name]; !ok {
@@ -84,7 +86,7 @@
 		}
 	}
 	for name, h := range hellos {
-		if now.Sub(h.at) > helloKept {
+		if now.Sub(h.receivedAt) > helloTTL {
 			delete(hellos, name)
 			continue
 		}
@@ -93,27 +95,27 @@
 	return out
 }
 
-// greet tells new peers of all attempts that go on.
-func (x *Exchange) greet(peers []Peer, now time.Time) {
+// syncNewPeers sends all active attempts to new peers.
+func (x *Exchange) syncNewPeers(peers []Peer, now time.Time) {
 	if len(peers) == 0 {
 		return
 	}
-	all := pack(x.cfg.Incarnation, x.cfg.Ledger.Active(x.cfg.Incarnation), nil, nil, now)
+	messages := packMessages(x.cfg.Incarnation, x.cfg.Ledger.Active(x.cfg.Incarnation), nil, nil, now)
 	if hello := x.hello(now); hello != nil {
-		all = append(all, &wirepb.WorkNews{Owner: x.cfg.Incarnation, Hello: hello})
+		messages = append(messages, &wirepb.WorkNews{Owner: x.cfg.Incarnation, Hello: hello})
 	}
 	for _, p := range peers {
 		x.cfg.Log.WithFields(logrus.Fields{"peer": p.Name, "address": p.DatagramAddress.String()}).Info("peer found")
-		for _, m := range all {
+		for _, m := range messages {
 			x.sendTo(p.DatagramAddress, m)
 		}
 	}
 }
 
-// hello is what the entry says of itself for a while after its start, else nil.
+// hello returns the hello to send within helloPeriod after the start, and nil later.
 func (x *Exchange) hello(now time.Time) *wirepb.Peer {
-	if now.Sub(x.started) > helloTime {
+	if now.Sub(x.started) > helloPeriod {
 		return nil
 	}
-	return x.own.message(x.cfg.Name)
+	return x.ownPresence.helloMessage(x.cfg.Name)
 }
--- a/peering/idle_test.go
+++ b/peering/idle_test.go
@@ -12,13 +12,13 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// Entries without attempts tell each other so twice a second: with hundreds of them that is
-// most of what they send. What began and ended is told as soon as before.
-func TestIdleEntryBeatsSeldom(t *testing.T) {
-	var rest idleRest
+// Guards against idle entries that send a heartbeat twice a second: with hundreds of entries
+// that is most of the traffic. Heartbeats of busy entries aren't skipped.
+func TestIdleEntrySkipsHeartbeats(t *testing.T) {
+	var rest idleThrottle
 	var sent []int
 	for i, idle := range []bool{false, true, true, true, true, true, true, true, false, false, true, true} {
-		if !rest.skips(idle) {
+		if !rest.skip(idle) {
 			sent = append(sent, i)
 		}
 	}
@@ -33,37 +33,37 @@
 	}
 }
 
-// An idle entry that beats seldom is taken for dead, and others read the store in its
-// place; or one that died with attempts keeps its servers busy for as long as an idle one
-// may be silent.
-func TestSilenceIsJudgedByWhatAnEntryLastSaid(t *testing.T) {
+// Guards against two failures: an idle entry, which sends fewer heartbeats, is assumed dead
+// and others read the store in its place; or the servers of an entry that died with active
+// attempts look busy until the longer timeout of an idle entry.
+func TestPeerTimeoutDependsOnLastReportedAttempts(t *testing.T) {
 	now := time.Now()
 	x := &Exchange{
 		cfg: Config{
 			Incarnation: 1, RPCAddress: "own", Log: quiet.Logger(),
 			Ledger: placement.NewLedger(func(uint64) *placement.Engine { return nil }),
 		},
-		last: map[uint64]time.Time{}, idle: map[uint64]bool{}, heard: metrics.NewCounter(),
+		lastSeen: map[uint64]time.Time{}, idlePeers: map[uint64]bool{}, received: metrics.NewCounter(),
 		peers: []Peer{{Incarnation: 2, RPCAddress: "two"}, {Incarnation: 3, RPCAddress: "three"}},
 	}
-	hear := func(m *wirepb.WorkNews) {
-		x.hear(netip.AddrPort{}, &wirepb.Datagram{Body: &wirepb.Datagram_Work{Work: m}})
+	receive := func(m *wirepb.WorkNews) {
+		x.handleDatagram(netip.AddrPort{}, &wirepb.Datagram{Body: &wirepb.Datagram_Work{Work: m}})
 	}
-	heard := func(after time.Duration) int {
-		near, _ := x.heardLately(now.Add(after))
+	live := func(after time.Duration) int {
+		near, _ := x.livePeers(now.Add(after))
 		return len(near)
 	}
-	hear(&wirepb.WorkNews{Owner: 2, Beat: true})
-	hear(&wirepb.WorkNews{Owner: 3, Beat: true, Active: []uint64{7}})
-	if n := heard(silentAfter + time.Second); n != 1 {
-		t.Errorf("%d heard, want the idle one", n)
+	receive(&wirepb.WorkNews{Owner: 2, Beat: true})
+	receive(&wirepb.WorkNews{Owner: 3, Beat: true, Active: []uint64{7}})
+	if n := live(peerTimeout + time.Second); n != 1 {
+		t.Errorf("%d live peers, want only the idle one", n)
 	}
-	if n := heard(idleSilentAfter + time.Second); n != 0 {
-		t.Errorf("%d heard after a long silence", n)
+	if n := live(idlePeerTimeout + time.Second); n != 0 {
+		t.Errorf("%d live peers after the idle timeout, want none", n)
 	}
-	hear(&wirepb.WorkNews{Owner: 2, Began: []*wirepb.WorkBegan{{Seq: 1}}})
-	x.forgetSilent(now.Add(silentAfter + time.Second))
-	if len(x.last) != 0 || len(x.cfg.Ledger.Active(2)) != 0 {
-		t.Errorf("kept: last %v, works %v", x.last, x.cfg.Ledger.Active(2))
+	receive(&wirepb.WorkNews{Owner: 2, Began: []*wirepb.WorkBegan{{Seq: 1}}})
+	x.expirePeers(now.Add(peerTimeout + time.Second))
+	if len(x.lastSeen) != 0 || len(x.cfg.Ledger.Active(2)) != 0 {
+		t.Errorf("not expired: last seen %v, attempts %v", x.lastSeen, x.cfg.Ledger.Active(2))
 	}
 }
--- a/peering/outbox.go
+++ b/peering/outbox.go
@@ -10,26 +10,27 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// batchTime is how long the news of first tokens and ends waits for more: it only
-// frees what others take for busy. What begins goes out at once, for another entry
-// may place on the same server a moment later.
-const batchTime = 5 * time.Millisecond
+// batchDelay is how long updates about first tokens and ends wait to be batched. They only
+// release capacity that peers count as used. Attempt starts go out at once, because
+// another entry may place on the same server a moment later.
+const batchDelay = 5 * time.Millisecond
 
-// maxBegan bounds the begun attempts of one datagram: 16 helpers and 16
-// holders make 300 bytes of one.
-const maxBegan = 3
+// maxBegunPerMessage is the maximum number of attempt starts in one datagram. One start
+// with 16 helpers and 16 holders takes 300 bytes.
+const maxBegunPerMessage = 3
 
-// outbox collects the news of this entry. It implements placement.Teller.
+// outbox collects this entry's updates until publishLoop sends them. It implements
+// placement.Teller and gateway.Witness.
 type outbox struct {
 	owner uint64
-	wake  chan struct{} // holds one token while there is news
-
-	mu    sync.Mutex // guards what follows
-	began []placement.Work
-	last  uint64 // the newest of all that began
-	died  []quarantine.Record
-	first []uint64
-	ended []uint64
+	wake  chan struct{} // holds one token while updates are pending
+
+	mu          sync.Mutex // guards what follows
+	began       []placement.Work
+	newestSeq   uint64 // highest sequence number of all attempts that began
+	deaths      []quarantine.Record
+	firstTokens []uint64
+	ended       []uint64
 }
 
 func newOutbox(owner uint64) *outbox {
@@ -40,22 +41,22 @@
 func (o *outbox) Began(w placement.Work) {
 	o.mu.Lock()
 	o.began = append(o.began, w)
-	o.last = max(o.last, w.ID.Seq)
+	o.newestSeq = max(o.newestSeq, w.ID.Seq)
 	o.mu.Unlock()
 	o.signal()
 }
 
-// newest returns the number of the newest attempt.
-func (o *outbox) newest() uint64 {
+// lastSeq returns the sequence number of the newest attempt.
+func (o *outbox) lastSeq() uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.last
+	return o.newestSeq
 }
 
 // FirstToken implements placement.Teller.
 func (o *outbox) FirstToken(id placement.WorkID) {
 	o.mu.Lock()
-	o.first = append(o.first, id.Seq)
+	o.firstTokens = append(o.firstTokens, id.Seq)
 	o.mu.Unlock()
 	o.signal()
 }
@@ -71,7 +72,7 @@
 // Died implements gateway.Witness.
 func (o *outbox) Died(r quarantine.Record) {
 	o.mu.Lock()
-	o.died = append(o.died, r)
+	o.deaths = append(o.deaths, r)
 	o.mu.Unlock()
 	o.signal()
 }
@@ -79,24 +80,24 @@
 func (o *outbox) signal() {
 	select {
 	case o.wake <- struct{}{}:
-	default: // a token is there already
+	default: // a wake-up is already pending
 	}
 }
 
-// urgent reports whether something begun waits.
+// urgent reports whether attempt starts or server deaths are pending.
 func (o *outbox) urgent() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return len(o.began)+len(o.died) > 0
+	return len(o.began)+len(o.deaths) > 0
 }
 
-// take empties the outbox into messages that fit a datagram each.
-func (o *outbox) take(now time.Time) []*wirepb.WorkNews {
+// drain empties the outbox and returns its updates as messages that each fit a datagram.
+func (o *outbox) drain(now time.Time) []*wirepb.WorkNews {
 	o.mu.Lock()
-	began, first, ended, died := o.began, o.first, o.ended, o.died
-	o.began, o.first, o.ended, o.died = nil, nil, nil, nil
+	began, first, ended, died := o.began, o.firstTokens, o.ended, o.deaths
+	o.began, o.firstTokens, o.ended, o.deaths = nil, nil, nil, nil
 	o.mu.Unlock()
-	out := pack(o.owner, began, first, ended, now)
+	out := packMessages(o.owner, began, first, ended, now)
 	for _, r := range died {
 		out = append(out, &wirepb.WorkNews{Owner: o.owner, Evidence: []*wirepb.Evidence{wire.EvidenceMessage(r)}})
 	}
@@ -104,32 +105,36 @@
 }
 
 const (
-	// maxSeqs bounds the numbers of one kind beside what began in a datagram of
-	// 1,200 bytes; after a million requests a day for years one takes six bytes.
-	maxSeqs = 40
-	// maxBeat bounds the numbers of a beat, which holds nothing else.
-	maxBeat = 180
+	// maxSeqsPerMessage is the maximum number of first tokens, and of ends, in a datagram
+	// of 1,200 bytes that also carries starts. A sequence number takes six bytes after
+	// years at a million requests a day.
+	maxSeqsPerMessage = 40
+	// maxHeartbeatSeqs is the maximum number of sequence numbers in a heartbeat, which
+	// carries no starts or ends.
+	maxHeartbeatSeqs = 180
 )
 
-func pack(owner uint64, began []placement.Work, first, ended []uint64, now time.Time) []*wirepb.WorkNews {
+// packMessages splits updates of an entry into messages that each fit a datagram.
+func packMessages(owner uint64, began []placement.Work, first, ended []uint64, now time.Time) []*wirepb.WorkNews {
 	var out []*wirepb.WorkNews
 	for len(began)+len(first)+len(ended) > 0 {
 		m := &wirepb.WorkNews{Owner: owner}
-		n := min(len(began), maxBegan)
+		n := min(len(began), maxBegunPerMessage)
 		for _, w := range began[:n] {
-			m.Began = append(m.Began, encode(w, now))
+			m.Began = append(m.Began, encodeAttempt(w, now))
 		}
 		began = began[n:]
-		n = min(len(first), maxSeqs)
+		n = min(len(first), maxSeqsPerMessage)
 		m.FirstToken, first = first[:n], first[n:]
-		n = min(len(ended), maxSeqs)
+		n = min(len(ended), maxSeqsPerMessage)
 		m.Ended, ended = ended[:n], ended[n:]
 		out = append(out, m)
 	}
 	return out
 }
 
-func encode(w placement.Work, now time.Time) *wirepb.WorkBegan {
+// encodeAttempt converts an attempt to its wire form, with times relative to now.
+func encodeAttempt(w placement.Work, now time.Time) *wirepb.WorkBegan {
 	return &wirepb.WorkBegan{
 		Seq:          w.ID.Seq,
 		Server:       w.Server,
@@ -146,7 +151,8 @@
 	}
 }
 
-func decode(owner uint64, b *wirepb.WorkBegan, now time.Time) placement.Work {
+// decodeAttempt converts the wire form of an attempt, with times relative to now.
+func decodeAttempt(owner uint64, b *wirepb.WorkBegan, now time.Time) placement.Work {
 	return placement.Work{
 		ID:           placement.WorkID{Owner: owner, Seq: b.GetSeq()},
 		Server:       b.GetServer(),
--- a/peering/presence.go
+++ b/peering/presence.go
@@ -14,70 +14,70 @@
 	"github.com/briarturn/briarturn/objectapi"
 )
 
-// KindGateway is the object kind by which entries find each other.
+// KindGateway is the object kind under which entries announce themselves to each other.
 const KindGateway = "briarturn-gateways"
 
-// announceRetry is the pause after a failed write of the own presence.
-const announceRetry = 500 * time.Millisecond
+// announceRetryDelay is the delay after a failed write of the own presence object.
+const announceRetryDelay = 500 * time.Millisecond
 
-// presence is the value of a KindGateway object; its name is the VM's.
+// presence is the value of a KindGateway object. The object has the name of the VM.
 type presence struct {
 	DatagramAddress string `json:"datagram"`      // IP:PORT
-	RPCAddress      string `json:"rpc,omitempty"` // IP:PORT of its drpc services, where it has any
+	RPCAddress      string `json:"rpc,omitempty"` // IP:PORT of its drpc services, if it has any
 	Incarnation     uint64 `json:"incarnation"`
 	Zone            string `json:"zone"`
 	Region          string `json:"region"`
-	LinkMbps        int    `json:"link_mbps,omitempty"` // of the VM; 0: not known
-	Relays          bool   `json:"relays,omitempty"`    // passes news on to its zone
+	LinkMbps        int    `json:"link_mbps,omitempty"` // link capacity of the VM in Mbit/s; 0 if unknown
+	Relays          bool   `json:"relays,omitempty"`    // can relay messages within its zone
 }
 
-// Peer is another entry.
+// Peer describes another entry.
 type Peer struct {
 	Name            string
-	DatagramAddress netip.AddrPort // datagrams
-	RPCAddress      string         // IP:PORT of its drpc services; empty: none
+	DatagramAddress netip.AddrPort // receives datagrams
+	RPCAddress      string         // IP:PORT of its drpc services; empty if it has none
 	Zone            string
 	Region          string
-	LinkMbps        int  // of the VM; 0: not known
-	Relays          bool // passes news on to its zone
+	LinkMbps        int  // link capacity of the VM in Mbit/s; 0 if unknown
+	Relays          bool // can relay messages within its zone
 	Incarnation     uint64
 }
 
-// listedWait bounds how long the own presence waits for the list of the others, which
-// tells the version of the one that an earlier process of the VM left. A list takes
-// milliseconds; without it the write costs up to two calls more.
-const listedWait = 500 * time.Millisecond
+// firstListingTimeout is how long the write of the own presence waits for the first
+// listing, which contains the version that an earlier process of the VM left. A listing
+// takes milliseconds; without it the write needs up to two more calls.
+const firstListingTimeout = 500 * time.Millisecond
 
-// announce writes the own presence and tries until it is written. The value is the
-// same at each try, so that a write whose answer was lost does no harm.
-func announce(ctx context.Context, store objectapi.Store, name string, p presence, r *roster, log logrus.FieldLogger) {
+// announce writes the own presence and retries until it succeeds or ctx ends. Each try
+// writes the same value, so that repeating a write whose response was lost is harmless.
+func announce(ctx context.Context, store objectapi.Store, name string, p presence, r *presenceSink, log logrus.FieldLogger) {
 	data, err := json.Marshal(p)
 	if err != nil {
-		log.WithError(err).Error("presence can't be encoded")
+		log.WithError(err).Error("failed to encode presence")
 		return
 	}
 	ctx = objectapi.WithReason(ctx, objectapi.ReasonAnnounce)
 	select {
-	case <-r.listed:
-	case <-time.After(listedWait):
+	case <-r.firstListing:
+	case <-time.After(firstListingTimeout):
 	case <-ctx.Done():
 		return
 	}
 	for {
-		err := put(ctx, store, name, data, r.ownVersion())
+		err := writePresence(ctx, store, name, data, r.ownVersion())
 		if err == nil {
 			return
 		}
-		log.WithError(err).Info("presence not written yet")
-		if !sleep.For(ctx, announceRetry) {
+		log.WithError(err).Info("failed to write presence, retrying")
+		if !sleep.For(ctx, announceRetryDelay) {
 			return
 		}
 	}
 }
 
-// put writes a presence over the version that is known to be there, or makes it if none
-// is known (0). Where that is wrong it reads the version first.
-func put(ctx context.Context, store objectapi.Store, name string, data json.RawMessage, version uint64) error {
+// writePresence updates the presence object at a known version, or creates it if version
+// is 0. If the store has another version, it reads that one and updates it.
+func writePresence(ctx context.Context, store objectapi.Store, name string, data json.RawMessage, version uint64) error {
 	var err error
 	if version == 0 {
 		_, err = store.Create(ctx, KindGateway, name, data)
@@ -95,85 +95,86 @@
 	return err
 }
 
-// roster is the objectapi.Sink that follows the presences of the other entries.
-type roster struct {
-	name string // the own
+// presenceSink is the objectapi.Sink that follows the presence objects of all entries.
+type presenceSink struct {
+	name string // of this entry
 	log  logrus.FieldLogger
-	// changed is told of each change, without the roster's lock.
-	changed func(peers []Peer)
-	listed  chan struct{} // closed by the first listing
-
-	mu    sync.Mutex // guards what follows
-	peers map[string]Peer
-	own   uint64 // version of the own presence; 0: none is known
-	known bool   // listed is closed
+	// onChange is called with all peers after each change, without the lock held.
+	onChange     func(peers []Peer)
+	firstListing chan struct{} // closed by the first listing
+
+	mu          sync.Mutex // guards what follows
+	peers       map[string]Peer
+	selfVersion uint64 // version of the own presence; 0 if none is known
+	isListed    bool   // firstListing is closed
 }
 
-func newRoster(name string, log logrus.FieldLogger, changed func(peers []Peer)) *roster {
-	return &roster{name: name, log: log, changed: changed, listed: make(chan struct{}), peers: map[string]Peer{}}
+func newPresenceSink(name string, log logrus.FieldLogger, changed func(peers []Peer)) *presenceSink {
+	return &presenceSink{name: name, log: log, onChange: changed, firstListing: make(chan struct{}), peers: map[string]Peer{}}
 }
 
-// ownVersion returns the version of the own presence as last listed; 0 if there is none.
-func (r *roster) ownVersion() uint64 {
+// ownVersion returns the last listed version of the own presence, or 0 if there is none.
+func (r *presenceSink) ownVersion() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.own
+	return r.selfVersion
 }
 
-// hasListed reports whether the object API has listed the presences once.
-func (r *roster) hasListed() bool {
+// hasListed reports whether the object API has listed the presence objects at least once.
+func (r *presenceSink) hasListed() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.known
+	return r.isListed
 }
 
 // Snapshot implements objectapi.Sink.
-func (r *roster) Snapshot(_ string, l objectapi.Listing) {
+func (r *presenceSink) Snapshot(_ string, l objectapi.Listing) {
 	r.mu.Lock()
 	clear(r.peers)
-	r.own = 0
-	r.takeLocked(l.Objects)
-	list := r.listLocked()
-	if !r.known {
-		r.known = true
-		close(r.listed)
+	r.selfVersion = 0
+	r.applyLocked(l.Objects)
+	list := r.peersLocked()
+	if !r.isListed {
+		r.isListed = true
+		close(r.firstListing)
 	}
 	r.mu.Unlock()
-	r.changed(list)
+	r.onChange(list)
 }
 
 // Events implements objectapi.Sink.
-func (r *roster) Events(_ string, l objectapi.Listing) {
+func (r *presenceSink) Events(_ string, l objectapi.Listing) {
 	if len(l.Objects) == 0 {
 		return
 	}
 	r.mu.Lock()
-	r.takeLocked(l.Objects)
-	list := r.listLocked()
+	r.applyLocked(l.Objects)
+	list := r.peersLocked()
 	r.mu.Unlock()
-	r.changed(list)
+	r.onChange(list)
 }
 
-func (r *roster) takeLocked(objects []objectapi.Object) {
+// applyLocked applies new, changed and deleted presence objects.
+func (r *presenceSink) applyLocked(objects []objectapi.Object) {
 	for _, o := range objects {
 		if o.Name == r.name {
-			r.own = o.Version
+			r.selfVersion = o.Version
 			continue
 		}
 		if o.Deleted {
 			delete(r.peers, o.Name)
 			continue
 		}
-		peer, err := peerOf(o)
+		peer, err := parsePresence(o)
 		if err != nil {
-			r.log.WithError(err).Warn("peer's presence can't be read")
+			r.log.WithError(err).Warn("invalid presence object of peer")
 			continue
 		}
 		r.peers[o.Name] = peer
 	}
 }
 
-func (r *roster) listLocked() []Peer {
+func (r *presenceSink) peersLocked() []Peer {
 	out := make([]Peer, 0, len(r.peers))
 	for _, p := range r.peers {
 		out = append(out, p)
@@ -181,7 +182,8 @@
 	return out
 }
 
-func peerOf(o objectapi.Object) (Peer, error) {
+// parsePresence decodes a KindGateway object.
+func parsePresence(o objectapi.Object) (Peer, error) {
 	var p presence
 	if err := json.Unmarshal(o.Data, &p); err != nil {
 		return Peer{}, errors.Annotatef(err, "step read presence, peer %s", o.Name)
--- a/peering/readers.go
+++ b/peering/readers.go
@@ -12,36 +12,37 @@
 )
 
 const (
-	// ReadersPerZone is how many entries of an availability zone read the object API; the
-	// others read through them. Each entry asks some two times a second, which at 430
-	// entries would be half of the 2,000 reads a second that the object API does.
+	// ReadersPerZone is how many entries of an availability zone read the object API. The
+	// other entries read through them. Each reader makes about two calls a second; 430
+	// readers would take half of the 2,000 reads a second that the object API serves.
 	ReadersPerZone = 1
-	// MinReaders is how many entries of a region read it at least. The first may be
-	// turned away and the second die without a gap.
+	// MinReaders is the minimum number of entries of a region that read the object API.
+	// With three, the object API can refuse one reader and a second one can die without an
+	// interruption.
 	MinReaders = 3
 )
 
-// Readers says which entries read the object API for the others, as one entry sees it.
+// Readers lists which entries read the object API for others, as seen by one entry.
 type Readers struct {
-	Self       bool     // this entry is one
-	SameZone   []string // RPC addresses of the readers of its zone, itself left out
-	OtherZones []string // of those of the other zones of its region
-	Others     []string // of all other entries that were heard lately, its own region first
+	Self       bool     // this entry is a reader
+	SameZone   []string // RPC addresses of the other readers in its zone
+	OtherZones []string // RPC addresses of the readers in the other zones of its region
+	Others     []string // RPC addresses of all other live entries, those of its region first
 }
 
-// Readers chooses the readers among the entries of the region that were heard lately,
-// itself included: of each zone the first, and more from anywhere up to LeastReaders. No
-// entry has to agree: where views differ, one more or one less reads for a moment, and
-// one that hears nobody reads for itself.
+// Readers chooses the readers among the live entries of the region, including this one:
+// the first ReadersPerZone of each zone, and more from any zone up to MinReaders. The
+// entries need no agreement: if their views differ, one entry more or fewer reads for a
+// moment, and an entry without live peers reads for itself.
 func (x *Exchange) Readers() Readers {
 	if x.cfg.RPCAddress == "" {
 		return Readers{Self: true}
 	}
-	near, abroad := x.heardLately(time.Now())
+	sameRegion, otherRegions := x.livePeers(time.Now())
 	self := Peer{RPCAddress: x.cfg.RPCAddress, Zone: x.cfg.Zone, Region: x.cfg.Region, LinkMbps: x.cfg.LinkMbps, Incarnation: x.cfg.Incarnation}
-	at, _ := slices.BinarySearchFunc(near, self, compareRank)
-	readers, others := chooseReaders(slices.Insert(near, at, self))
-	out := Readers{Others: slices.Concat(addressesOf(others, self), addressesOf(abroad, self))}
+	at, _ := slices.BinarySearchFunc(sameRegion, self, compareRank)
+	readers, others := chooseReaders(slices.Insert(sameRegion, at, self))
+	out := Readers{Others: slices.Concat(shuffledAddresses(others, self), shuffledAddresses(otherRegions, self))}
 	for _, p := range readers {
 		switch {
 		case p.Incarnation == self.Incarnation:
@@ -57,8 +58,8 @@
 	return out
 }
 
-// addressesOf returns the addresses of peers, in no order, but for the entry itself.
-func addressesOf(peers []Peer, self Peer) []string {
+// shuffledAddresses returns the RPC addresses of peers except self, in random order.
+func shuffledAddresses(peers []Peer, self Peer) []string {
 	var out []string
 	for _, p := range peers {
 		if p.Incarnation != self.Incarnation {
@@ -69,31 +70,31 @@
 	return out
 }
 
-// heardLately returns the peers that answer reads and were heard lately, in order of
-// rank: those of the own region and those of others.
-func (x *Exchange) heardLately(now time.Time) (near, abroad []Peer) {
+// livePeers returns the peers that serve reads and haven't timed out, ordered by
+// compareRank, split into those of the own region and those of other regions.
+func (x *Exchange) livePeers(now time.Time) (sameRegion, otherRegions []Peer) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, p := range x.peers {
 		switch {
-		case p.RPCAddress == "" || x.silentLocked(p.Incarnation, now):
+		case p.RPCAddress == "" || x.timedOutLocked(p.Incarnation, now):
 		case p.Region == x.cfg.Region:
-			near = append(near, p)
+			sameRegion = append(sameRegion, p)
 		default:
-			abroad = append(abroad, p)
+			otherRegions = append(otherRegions, p)
 		}
 	}
-	return near, abroad
+	return sameRegion, otherRegions
 }
 
-// chooseReaders parts the entries of a region, given in order of rank, into readers and
-// others: the first ReadersPerZone of each zone, and the first of the rest until there
-// are LeastReaders.
+// chooseReaders splits the entries of a region, ordered by compareRank, into readers and
+// others. The readers are the first ReadersPerZone entries of each zone, and the first of
+// the rest until there are MinReaders.
 func chooseReaders(entries []Peer) (readers, others []Peer) {
-	ofZone := map[string]int{}
+	perZone := map[string]int{}
 	for _, p := range entries {
-		if ofZone[p.Zone] < ReadersPerZone {
-			ofZone[p.Zone]++
+		if perZone[p.Zone] < ReadersPerZone {
+			perZone[p.Zone]++
 			readers = append(readers, p)
 			continue
 		}
@@ -103,22 +104,23 @@
 	return append(readers, others[:more]...), others[more:]
 }
 
-// compareRank orders entries the same everywhere: those on faster links first, since a
-// reader hands a large configuration to all others of its zone at once (350 kB to a
-// dozen take 1.7 s on 20 Mbit/s and 0.17 s on 200), and alike ones evenly by a hash.
+// compareRank orders entries identically on every entry. Entries with faster links come
+// first, because a reader sends a large configuration to all others of its zone at once
+// (350 kB to a dozen entries take 1.7 s at 20 Mbit/s and 0.17 s at 200 Mbit/s). Entries of
+// the same link class are ordered by a hash, which spreads them evenly.
 func compareRank(a, b Peer) int {
 	return cmp.Or(
 		cmp.Compare(linkClass(b.LinkMbps), linkClass(a.LinkMbps)),
-		cmp.Compare(rankOf(a.Incarnation), rankOf(b.Incarnation)),
+		cmp.Compare(rankHash(a.Incarnation), rankHash(b.Incarnation)),
 		cmp.Compare(a.Incarnation, b.Incarnation),
 	)
 }
 
-// linkClass is the same for links that differ by less than two times.
+// linkClass groups link capacities by powers of two.
 func linkClass(mbps int) int { return bits.Len(uint(max(mbps, 0))) }
 
-// rankOf spreads incarnations evenly.
-func rankOf(incarnation uint64) uint64 {
+// rankHash hashes an incarnation, for an even spread.
+func rankHash(incarnation uint64) uint64 {
 	return xxhash.Sum64(binary.LittleEndian.AppendUint64(nil, incarnation))
 }
 
--- a/peering/relay.go
+++ b/peering/relay.go
@@ -10,99 +10,103 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// The load that this answers: hundreds of entries that tell each other of each attempt and
-// that they live, most of them in other availability zones, where links are slow and bytes
-// are paid for. What isn't urgent goes to one entry of every other zone, which passes it on
-// there: a zone hears once what all its entries hear. Each message goes by another entry, so
-// that one that is lost or slow costs its zone one message of many, for which a beat makes up.
+// Hundreds of entries send each other updates and heartbeats, most of them to other
+// availability zones, where links are slow and traffic is paid for. Messages that aren't
+// urgent therefore go to one entry of each other zone, which relays them to its zone, so
+// that each message is sent to a zone only once. The relay is picked at random for each
+// message, so that a relay that died or is slow costs its zone only one message of many,
+// which the next heartbeat repairs.
 const (
-	// relayLeast is how many entries of another zone make it worth while: below, what is
-	// saved is less than the way gets longer.
-	relayLeast = 3
-	// relayAllLeast is how many peers make it quicker for what begins too: from there on
-	// telling each takes a small entry longer than telling those of its zone, having the
-	// rest passed on, and one link more.
-	relayAllLeast = 150
-	// passingMost bounds the messages that wait to be passed on: a second's of 400 entries.
-	passingMost = 1024
+	// minZonePeersToRelay is the minimum number of peers in another zone for which messages
+	// are relayed. For fewer, the saved traffic doesn't justify the longer path.
+	minZonePeersToRelay = 3
+	// minPeersToRelayStarts is the number of peers from which attempt starts are relayed too.
+	// From there on, sending to each peer takes a small entry longer than sending to its
+	// zone and the relays, including the additional hop.
+	minPeersToRelayStarts = 150
+	// relayQueueSize is the maximum number of messages that wait to be relayed: one second
+	// of messages from 400 entries.
+	relayQueueSize = 1024
 )
 
-// tell sends a message to all peers. What begins goes straight to each as long as they are
-// few: others place by it a moment later.
-func (x *Exchange) tell(m *wirepb.WorkNews) {
-	if x.goesStraight(m) {
-		x.sendAll(m)
+// broadcast sends a message to all peers, directly or through relays. In a small fleet
+// attempt starts go directly to each peer, because peers use them for placement a moment
+// later.
+func (x *Exchange) broadcast(m *wirepb.WorkNews) {
+	if x.bypassesRelays(m) {
+		x.sendToAll(m)
 		return
 	}
-	direct, relays := x.ways()
+	direct, relays := x.recipients()
 	for _, p := range direct {
 		x.sendTo(p.DatagramAddress, m)
 	}
 	if len(relays) == 0 {
 		return
 	}
-	passed := proto.CloneOf(m)
-	passed.PassOn = true
+	relayed := proto.CloneOf(m)
+	relayed.PassOn = true
 	for _, p := range relays {
-		x.sendTo(p.DatagramAddress, passed)
+		x.sendTo(p.DatagramAddress, relayed)
 	}
 }
 
-func (x *Exchange) goesStraight(m *wirepb.WorkNews) bool {
+// bypassesRelays reports whether a message goes directly to every peer.
+func (x *Exchange) bypassesRelays(m *wirepb.WorkNews) bool {
 	if len(m.GetEvidence()) > 0 || m.GetHello() != nil {
 		return true
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return len(m.GetBegan()) > 0 && len(x.peers) < relayAllLeast
+	return len(m.GetBegan()) > 0 && len(x.peers) < minPeersToRelayStarts
 }
 
-// ways parts the peers into those that are told themselves and one of each other zone that
-// passes on. An entry is asked to only if it was heard lately and knows how to.
-func (x *Exchange) ways() (direct, relays []Peer) {
-	ofZone := map[string][]Peer{}
+// recipients splits the peers into those that receive a message directly and one relay for
+// each other zone. Only live peers that can relay are chosen as relays.
+func (x *Exchange) recipients() (direct, relays []Peer) {
+	perZone := map[string][]Peer{}
 	x.mu.Lock()
 	peers := x.peers
 	now := time.Now()
-	able := map[string][]Peer{}
+	candidates := map[string][]Peer{}
 	for _, p := range peers {
 		if p.Zone == x.cfg.Zone {
 			direct = append(direct, p)
 			continue
 		}
-		ofZone[p.Zone] = append(ofZone[p.Zone], p)
-		if p.Relays && !x.silentLocked(p.Incarnation, now) {
-			able[p.Zone] = append(able[p.Zone], p)
+		perZone[p.Zone] = append(perZone[p.Zone], p)
+		if p.Relays && !x.timedOutLocked(p.Incarnation, now) {
+			candidates[p.Zone] = append(candidates[p.Zone], p)
 		}
 	}
 	x.mu.Unlock()
-	for zone, members := range ofZone {
-		if len(members) < relayLeast || len(able[zone]) == 0 {
+	for zone, members := range perZone {
+		if len(members) < minZonePeersToRelay || len(candidates[zone]) == 0 {
 			direct = append(direct, members...)
 			continue
 		}
-		relays = append(relays, able[zone][rand.IntN(len(able[zone]))])
+		relays = append(relays, candidates[zone][rand.IntN(len(candidates[zone]))])
 	}
 	return direct, relays
 }
 
-// toPassOn takes a message for the other entries of the zone. It doesn't wait: the event
-// loop of the datagrams calls it.
-func (x *Exchange) toPassOn(m *wirepb.WorkNews) {
+// enqueueRelay queues a message for the other entries of the zone and drops it if the queue
+// is full. It doesn't block, because the event loop of the datagram socket calls it.
+func (x *Exchange) enqueueRelay(m *wirepb.WorkNews) {
 	select {
-	case x.passing <- m:
+	case x.relayQueue <- m:
 	default:
-		x.dropped.Inc(1)
+		x.relaysDropped.Inc(1)
 	}
 }
 
-// passOn passes messages on until ctx ends.
-func (x *Exchange) passOn(ctx context.Context) {
+// relayLoop sends queued messages to the other entries of the zone until ctx ends.
+func (x *Exchange) relayLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-x.passing:
+		case m := <-x.relayQueue:
 			m = proto.CloneOf(m)
 			m.PassOn = false
 			for _, p := range x.zonePeers() {
@@ -114,7 +118,7 @@
 	}
 }
 
-// zonePeers returns the peers of the own zone.
+// zonePeers returns the peers in the own zone.
 func (x *Exchange) zonePeers() []Peer {
 	x.mu.Lock()
 	defer x.mu.Unlock()
