--- a/replica/doc.go
+++ b/replica/doc.go
@@ -1,13 +1,13 @@
-// Package replica lets entries read the object API through each other. An entry
-// keeps what it last read of some kinds and when that was current (Replica), gives
-// it to its peers over drpc (Service), and reads from them what the object API
-// doesn't tell it (Puller).
+// Package replica lets entries read the object API through each other. An entry keeps
+// the last state that it read of some kinds and the time at which that state was current
+// (Replica), serves it to its peers over drpc (Service), and pulls from its peers what the
+// object API doesn't deliver (Puller).
 //
-// An object API may turn one VM away and serve the others. The VM would then refuse
-// every request that needs a key five seconds later, though its peers know all that
-// it lacks.
+// The object API may refuse one VM and serve the others. Without this package that VM
+// would, five seconds later, refuse every request that needs a key, although its peers
+// have the current state.
 //
-// What is passed on is proved as hard as what the object API says: Proof tells why an
-// answer that was late, held back or doubled can't make anything look newer than it
-// is. Nothing here writes.
+// A state read from a peer is as reliable as one read from the object API: a response that
+// is late, delayed or duplicated can't make a state look newer than it is (see
+// ConfirmedOffset). This package never writes to the object API.
 package replica
--- a/replica/history_test.go
+++ b/replica/history_test.go
@@ -12,18 +12,18 @@
 	"github.com/briarturn/briarturn/objectapi"
 )
 
-// origin is a store whose every state is known, by revision.
-type origin struct {
+// fakeStore is a store that keeps the state of every revision.
+type fakeStore struct {
 	revision uint64
 	states   map[uint64]map[string]objectapi.Object
 	events   []objectapi.Object // in order; Version is the revision of the change
 }
 
-func newOrigin() *origin {
-	return &origin{states: map[uint64]map[string]objectapi.Object{0: {}}}
+func newFakeStore() *fakeStore {
+	return &fakeStore{states: map[uint64]map[string]objectapi.Object{0: {}}}
 }
 
-func (o *origin) change(name string, deleted bool) {
+func (o *fakeStore) change(name string, deleted bool) {
 	state := map[string]objectapi.Object{}
 	for k, v := range o.states[o.revision] {
 		state[k] = v
@@ -40,8 +40,8 @@
 	o.events = append(o.events, event)
 }
 
-// list gives an entry the whole state, watch what changed since it last heard.
-func (o *origin) list(e *entry) {
+// list delivers the full state to an entry.
+func (o *fakeStore) list(e *entry) {
 	l := objectapi.Listing{Revision: o.revision, Asked: e.now}
 	for _, object := range o.states[o.revision] {
 		l.Objects = append(l.Objects, object)
@@ -49,7 +49,8 @@
 	e.replica.Snapshot(kind, l)
 }
 
-func (o *origin) watch(e *entry) {
+// watch delivers the changes since the entry's revision.
+func (o *fakeStore) watch(e *entry) {
 	l := objectapi.Listing{Revision: o.revision, Asked: e.now}
 	for _, event := range o.events {
 		if event.Version > e.replica.Revision(kind) {
@@ -59,8 +60,8 @@
 	e.replica.Events(kind, l)
 }
 
-// held is what an entry has of the kind.
-func (e *entry) held() map[string]objectapi.Object {
+// heldObjects returns the objects of the kind that an entry holds.
+func (e *entry) heldObjects() map[string]objectapi.Object {
 	e.replica.mu.Lock()
 	defer e.replica.mu.Unlock()
 	if s := e.replica.kinds[kind]; s != nil {
@@ -69,18 +70,17 @@
 	return map[string]objectapi.Object{}
 }
 
-// Symptom: an entry sends to a server that is long gone, or lacks one that is there.
-// Sequence: objects are made, changed and deleted; entries list them, watch them, lose
-// their place, and ask each other in any order.
-// Cause: changes put onto a state that they don't follow.
-func TestChangesLeadToTheStateOfTheirRevision(t *testing.T) {
+// Guards against an entry that sends to a deleted server or lacks an existing one, because
+// changes were applied to a state that they don't follow. Objects are created, changed and
+// deleted, and entries list, watch and pull from each other in random order.
+func TestIncrementalChangesReproduceTheirRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		store := newOrigin()
-		entries := []*entry{newEntry(second(100)), newEntry(second(200)), newEntry(second(300))}
+		store := newFakeStore()
+		entries := []*entry{newEntry(atSecond(100)), newEntry(atSecond(200)), newEntry(atSecond(300))}
 		pullers := make([]*Puller, len(entries))
 		registry := metrics.NewRegistry()
 		for i, e := range entries {
-			p := &peers{entries: map[string]*entry{}, asker: e}
+			p := &fakePeers{entries: map[string]*entry{}, requester: e}
 			var addresses []string
 			for j, peer := range entries {
 				if i != j {
@@ -101,28 +101,28 @@
 			case 1:
 				store.watch(entries[e])
 			case 2:
-				pullers[e].renew(t.Context())
+				pullers[e].pullRound(t.Context())
 			default:
 				name := fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "name"))
 				store.change(name, rapid.Bool().Draw(t, "deleted"))
 			}
 			for i, e := range entries {
-				if d := cmp.Diff(store.states[e.replica.Revision(kind)], e.held()); d != "" {
+				if d := cmp.Diff(store.states[e.replica.Revision(kind)], e.heldObjects()); d != "" {
 					t.Fatalf("entry %d at revision %d: %s", i, e.replica.Revision(kind), d)
 				}
 			}
 		}
-		if n := pullers[0].strayed.Count(); n != 0 {
-			t.Fatalf("%d times changes led elsewhere", n)
+		if n := pullers[0].divergences.Count(); n != 0 {
+			t.Fatalf("%d divergences, want none", n)
 		}
 	})
 }
 
-// Symptom: bytes between zones grow with servers times entries. Sequence: one server of
-// many changes; an entry asks its reader. Cause: it is given all of them.
-func TestOnlyWhatChangedIsSent(t *testing.T) {
-	store := newOrigin()
-	e, peer := newEntry(second(1000)), newEntry(second(7))
+// Guards against traffic between zones that grows with the product of servers and entries:
+// one of many servers changes, and an entry that asks its reader receives all of them.
+func TestOnlyChangesAreSent(t *testing.T) {
+	store := newFakeStore()
+	e, peer := newEntry(atSecond(1000)), newEntry(atSecond(7))
 	for i := range 100 {
 		store.change(fmt.Sprint(i), false)
 	}
@@ -132,36 +132,36 @@
 	store.change("6", true)
 	store.watch(peer)
 	e.now = e.now.Add(3 * time.Second)
-	e.renew(t, &peers{entries: map[string]*entry{"b": peer}})
+	e.pullRound(t, &fakePeers{entries: map[string]*entry{"b": peer}})
 	last := e.sink.listings[len(e.sink.listings)-1]
-	if len(last.Objects) != 2 || len(e.held()) != 99 {
-		t.Errorf("%d objects were sent, %d are held, want 2 and 99", len(last.Objects), len(e.held()))
+	if len(last.Objects) != 2 || len(e.heldObjects()) != 99 {
+		t.Errorf("%d objects sent, %d held, want 2 and 99", len(last.Objects), len(e.heldObjects()))
 	}
 }
 
-// Symptom: an entry keeps a server that is gone until that changes once more. Sequence:
-// changes of a peer lead to other objects than it has. Cause: a fault; here one object
-// that only the entry has. The next answer has to bring the whole.
-func TestEntryThatStrayedAsksForTheWhole(t *testing.T) {
-	store := newOrigin()
-	e, peer := newEntry(second(1000)), newEntry(second(7))
+// Guards against an entry that keeps a deleted server until that server changes again,
+// because after changes from a peer it holds other objects than the peer. Here the entry has
+// one object that the peer lacks. The next response must contain the full state.
+func TestDivergedEntryRequestsFullState(t *testing.T) {
+	store := newFakeStore()
+	e, peer := newEntry(atSecond(1000)), newEntry(atSecond(7))
 	store.change("a", false)
 	store.list(e)
 	store.list(peer)
 	e.replica.kinds[kind].objects["stray"] = object("stray", 1)
 	store.change("b", false)
 	store.watch(peer)
-	p := &peers{entries: map[string]*entry{"b": peer}, asker: e}
+	p := &fakePeers{entries: map[string]*entry{"b": peer}, requester: e}
 	puller := NewPuller(PullerConfig{
 		Replica: e.replica, Kinds: []PulledKind{{Kind: kind, MaxAge: 2 * time.Second}}, Client: p, Clock: e.clock, Metrics: metrics.NewRegistry(),
 		Sources: func() Sources { return Sources{AlwaysPull: true, Peers: []string{"b"}} },
 	})
-	puller.renew(t.Context())
-	if n := puller.strayed.Count(); n != 1 {
-		t.Errorf("noticed %d times, want 1", n)
+	puller.pullRound(t.Context())
+	if n := puller.divergences.Count(); n != 1 {
+		t.Errorf("%d divergences, want 1", n)
 	}
-	puller.renew(t.Context())
-	if d := cmp.Diff(store.states[store.revision], e.held()); d != "" {
+	puller.pullRound(t.Context())
+	if d := cmp.Diff(store.states[store.revision], e.heldObjects()); d != "" {
 		t.Error(d)
 	}
 }
--- a/replica/puller.go
+++ b/replica/puller.go
@@ -14,48 +14,50 @@
 )
 
 const (
-	// pullEvery is how often peers are asked where they stand in for the object API, and
-	// how often the ages are looked at elsewhere: one try in the half second between the
-	// age from which a configuration is asked for and that at which an entry leaves the
-	// balancer, and a change is known a sixth of the two seconds in which it has to be in
-	// force later than by a watch.
-	pullEvery = 300 * time.Millisecond
-	// pullTimeout bounds one question. Peers answer in milliseconds out of memory;
-	// one that is gone must not cost the time in which another could answer.
+	// pullInterval is the time between two rounds. A round asks peers for all kinds if the
+	// entry leaves the object API to its peers, and for stale kinds otherwise. The interval
+	// allows one try in the half second between the age at which a configuration is pulled
+	// and the age at which an entry leaves the load balancer. Compared with a watch, it
+	// delays a change by a sixth of the two seconds in which it must be in force.
+	pullInterval = 300 * time.Millisecond
+	// pullTimeout is the timeout of one request. Peers answer from memory within
+	// milliseconds, and a dead peer must not use up the time in which another could answer.
 	pullTimeout = 250 * time.Millisecond
-	// pullWholeTimeout bounds a question for objects that the peer left out as large:
-	// a megabyte takes 0.4 s on a link of 20 Mbit/s, and others ask at the same moment.
-	pullWholeTimeout = 2 * time.Second
-	// pullPeers bounds the peers that are asked at a time.
-	pullPeers = 3
+	// fullPullTimeout is the timeout of a request for objects that the peer left out
+	// because of their size. A megabyte takes 0.4 s on a link of 20 Mbit/s, and other
+	// entries request it at the same time.
+	fullPullTimeout = 2 * time.Second
+	// maxPeersPerRound is the maximum number of peers that are asked in one round.
+	maxPeersPerRound = 3
 )
 
-// Client asks the peer at an address; package wire's Dialer is one.
+// Client sends requests to the peer at an address. wire.Dialer implements it.
 type Client interface {
 	PullStates(ctx context.Context, address string, in *wirepb.StatesRequest) (*wirepb.States, error)
 }
 
-// PulledKind is a kind that a Puller keeps current.
+// PulledKind is an object kind that a Puller keeps current.
 type PulledKind struct {
 	Kind string
-	// MaxAge is from when on peers are asked: more than an undisturbed watch lets the
-	// proof of the kind grow, which is two of its waits.
+	// MaxAge is the age of the state from which peers are asked. It must exceed the age
+	// that the state reaches under an undisturbed watch, which is twice the watch's wait.
 	MaxAge time.Duration
 }
 
-// Sources says whom a Puller asks.
+// Sources lists the peers that a Puller asks.
 type Sources struct {
-	// AlwaysPull has it ask however new a kind is: for an entry that leaves the object API to
-	// its peers.
+	// AlwaysPull makes the Puller ask for all kinds, whatever their age. It is set for an
+	// entry that leaves the object API to its peers.
 	AlwaysPull bool
-	// Peers are the addresses of those that answer, the best first.
+	// Peers are the addresses of the peers to ask, the preferred ones first.
 	Peers []string
-	// LargeObjectPeers are those to ask first for large objects that another knows of: near ones,
-	// since bytes between availability zones are paid for and slow.
+	// LargeObjectPeers are the addresses of the peers to ask first for large objects that
+	// another peer has left out. They are in the same availability zone, because traffic
+	// between availability zones is slow and paid for.
 	LargeObjectPeers []string
 }
 
-// PullerConfig sets up a Puller.
+// PullerConfig holds the settings and dependencies of a Puller.
 type PullerConfig struct {
 	Replica *Replica
 	Kinds   []PulledKind
@@ -65,59 +67,60 @@
 	Metrics metrics.Registry
 }
 
-// Puller keeps a Replica current from peers where the object API doesn't.
+// Puller keeps a Replica current from peers when the object API doesn't.
 type Puller struct {
-	cfg     PullerConfig
-	pulls   metrics.Counter
-	wholes  metrics.Counter
-	failed  metrics.Counter
-	renewed metrics.Counter
-	strayed metrics.Counter
-	// stray are kinds whose changes led to other objects than the peer has.
-	stray map[string]bool
-}
-
-// NewPuller returns a Puller; Run makes it work.
+	cfg            PullerConfig
+	pulls          metrics.Counter
+	fullPulls      metrics.Counter
+	failedPulls    metrics.Counter
+	refreshedKinds metrics.Counter
+	divergences    metrics.Counter
+	// diverged are the kinds whose objects differed from the peer's after changes were
+	// applied.
+	diverged map[string]bool
+}
+
+// NewPuller returns a Puller. Run starts it.
 func NewPuller(cfg PullerConfig) *Puller {
 	return &Puller{
-		cfg:     cfg,
-		pulls:   metrics.GetOrRegisterCounter("replica.pulls", cfg.Metrics),
-		wholes:  metrics.GetOrRegisterCounter("replica.pulls_whole", cfg.Metrics),
-		failed:  metrics.GetOrRegisterCounter("replica.pulls_failed", cfg.Metrics),
-		renewed: metrics.GetOrRegisterCounter("replica.renewed", cfg.Metrics),
-		strayed: metrics.GetOrRegisterCounter("replica.strayed", cfg.Metrics),
-		stray:   map[string]bool{},
+		cfg:            cfg,
+		pulls:          metrics.GetOrRegisterCounter("replica.pulls", cfg.Metrics),
+		fullPulls:      metrics.GetOrRegisterCounter("replica.pulls_whole", cfg.Metrics),
+		failedPulls:    metrics.GetOrRegisterCounter("replica.pulls_failed", cfg.Metrics),
+		refreshedKinds: metrics.GetOrRegisterCounter("replica.renewed", cfg.Metrics),
+		divergences:    metrics.GetOrRegisterCounter("replica.strayed", cfg.Metrics),
+		diverged:       map[string]bool{},
 	}
 }
 
-// Run works until ctx ends.
+// Run pulls from peers at each pullInterval until ctx ends.
 func (p *Puller) Run(ctx context.Context) {
-	for sleep.For(ctx, pullEvery) {
-		p.renew(ctx)
+	for sleep.For(ctx, pullInterval) {
+		p.pullRound(ctx)
 	}
 }
 
-// renew asks peers for the kinds that are old or unknown, or for all, until one knows
-// each well enough.
-func (p *Puller) renew(ctx context.Context) {
+// pullRound asks peers for the stale kinds, or for all kinds if AlwaysPull is set, until no
+// kind is stale or maxPeersPerRound peers were asked.
+func (p *Puller) pullRound(ctx context.Context) {
 	sources := p.cfg.Sources()
-	wanted := p.old(p.cfg.Kinds)
+	wanted := p.staleKinds(p.cfg.Kinds)
 	if sources.AlwaysPull {
 		wanted = p.cfg.Kinds
 	}
-	for _, address := range sources.Peers[:min(len(sources.Peers), pullPeers)] {
+	for _, address := range sources.Peers[:min(len(sources.Peers), maxPeersPerRound)] {
 		if len(wanted) == 0 {
 			return
 		}
-		p.pull(ctx, address, sources.LargeObjectPeers, wanted)
-		still := p.old(wanted)
-		p.renewed.Inc(int64(len(wanted) - len(still)))
+		p.pullFrom(ctx, address, sources.LargeObjectPeers, wanted)
+		still := p.staleKinds(wanted)
+		p.refreshedKinds.Inc(int64(len(wanted) - len(still)))
 		wanted = still
 	}
 }
 
-// old returns the kinds that need the word of peers.
-func (p *Puller) old(kinds []PulledKind) []PulledKind {
+// staleKinds returns the kinds that are unknown or have reached their MaxAge.
+func (p *Puller) staleKinds(kinds []PulledKind) []PulledKind {
 	var out []PulledKind
 	for _, f := range kinds {
 		if age, ok := p.cfg.Replica.Age(f.Kind); !ok || age >= f.MaxAge {
@@ -127,76 +130,77 @@
 	return out
 }
 
-// leftOut is a state whose objects a peer left out as large.
-type leftOut struct {
+// omittedState is a state whose objects a peer left out because of their size.
+type omittedState struct {
 	kind     string
 	revision uint64
 }
 
-// pull asks one peer for some kinds and takes what it knows. Large objects are asked for
-// by themselves, the near peers first.
-func (p *Puller) pull(ctx context.Context, address string, near []string, kinds []PulledKind) {
-	question := &wirepb.StatesRequest{}
+// pullFrom asks one peer for some kinds and applies its response. Large objects are requested
+// separately, from largeObjectPeers first.
+func (p *Puller) pullFrom(ctx context.Context, address string, largeObjectPeers []string, kinds []PulledKind) {
+	in := &wirepb.StatesRequest{}
 	for _, f := range kinds {
-		question.Held = append(question.Held, p.held(f.Kind))
+		in.Held = append(in.Held, p.heldState(f.Kind))
 	}
 	p.pulls.Inc(1)
-	for _, l := range p.ask(ctx, address, question, pullTimeout) {
-		for _, from := range append(slices.Clone(near), address) {
+	for _, l := range p.request(ctx, address, in, pullTimeout) {
+		for _, from := range append(slices.Clone(largeObjectPeers), address) {
 			if p.cfg.Replica.Revision(l.kind) >= l.revision {
 				break
 			}
-			p.pullWhole(ctx, from, l.kind)
+			p.pullFull(ctx, from, l.kind)
 		}
 	}
 }
 
-// pullWhole asks one peer for a kind whose objects may be large.
-func (p *Puller) pullWhole(ctx context.Context, address, kind string) {
-	held := p.held(kind)
+// pullFull asks one peer for a kind whose objects may be large.
+func (p *Puller) pullFull(ctx context.Context, address, kind string) {
+	held := p.heldState(kind)
 	held.Whole = true
-	p.wholes.Inc(1)
-	p.ask(ctx, address, &wirepb.StatesRequest{Held: []*wirepb.StateHeld{held}}, pullWholeTimeout)
+	p.fullPulls.Inc(1)
+	p.request(ctx, address, &wirepb.StatesRequest{Held: []*wirepb.StateHeld{held}}, fullPullTimeout)
 }
 
-// held tells a peer what is known of a kind here.
-func (p *Puller) held(kind string) *wirepb.StateHeld {
+// heldState describes the held state of a kind in a request. For a diverged kind it omits
+// the revision, so that the peer sends the full state.
+func (p *Puller) heldState(kind string) *wirepb.StateHeld {
 	out := &wirepb.StateHeld{Kind: kind, Digest: p.cfg.Replica.Digest(kind)}
-	if !p.stray[kind] {
+	if !p.diverged[kind] {
 		out.Revision = p.cfg.Replica.Revision(kind)
 	}
 	return out
 }
 
-// ask sends one question and takes the answer. It returns what the peer left out, if
-// that is newer than what is known here.
-func (p *Puller) ask(ctx context.Context, address string, question *wirepb.StatesRequest, limit time.Duration) []leftOut {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// request sends one request and applies the response. It returns the states that the peer
+// left out and that are newer than the held ones.
+func (p *Puller) request(ctx context.Context, address string, in *wirepb.StatesRequest, timeout time.Duration) []omittedState {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	asked := p.cfg.Clock()
-	out, err := p.cfg.Client.PullStates(ctx, address, question)
+	sent := p.cfg.Clock()
+	out, err := p.cfg.Client.PullStates(ctx, address, in)
 	if err != nil {
-		// Its reason is the peer's or the network's; the counter tells how often, a line
-		// for each would flood the log of an entry that is cut off.
-		p.failed.Inc(1)
+		// The cause is the peer or the network. A log line for each failure would flood
+		// the log of an entry that is cut off, so failures are only counted.
+		p.failedPulls.Inc(1)
 		return nil
 	}
-	var left []leftOut
+	var omitted []omittedState
 	for _, s := range out.GetStates() {
 		switch {
 		case !s.GetLeftOut():
-			proof := ConfirmedOffset(time.Duration(s.GetProvedUs()) * time.Microsecond)
-			p.take(s, proof.instant(asked, p.cfg.Clock()))
-		case s.GetRevision() > p.cfg.Replica.Revision(s.GetKind()): // else the peer lags
-			left = append(left, leftOut{kind: s.GetKind(), revision: s.GetRevision()})
+			offset := ConfirmedOffset(time.Duration(s.GetProvedUs()) * time.Microsecond)
+			p.apply(s, offset.localInstant(sent, p.cfg.Clock()))
+		case s.GetRevision() > p.cfg.Replica.Revision(s.GetKind()): // otherwise the peer lags behind
+			omitted = append(omitted, omittedState{kind: s.GetKind(), revision: s.GetRevision()})
 		}
 	}
-	return left
+	return omitted
 }
 
-// take passes an answer on: the word that nothing changed, what changed, or the whole
-// state. The replica leaves out what is older than what it holds.
-func (p *Puller) take(s *wirepb.State, confirmed boottime.Instant) {
+// apply applies a state from a response to the replica: a confirmation that nothing changed,
+// the changes, or the full state. The replica ignores states older than the held one.
+func (p *Puller) apply(s *wirepb.State, confirmed boottime.Instant) {
 	kind := s.GetKind()
 	if p.cfg.Replica.Confirm(kind, s.GetDigest(), confirmed) {
 		return
@@ -206,23 +210,23 @@
 		l.Objects = append(l.Objects, objectapi.Object{Kind: kind, Name: o.GetName(), Version: o.GetVersion(), Data: o.GetData(), Deleted: o.GetDeleted()})
 	}
 	if !s.GetChanges() {
-		p.stray[kind] = false
+		p.diverged[kind] = false
 		p.cfg.Replica.Snapshot(kind, l)
 		return
 	}
 	p.cfg.Replica.Events(kind, l)
-	p.check(s)
+	p.checkDigest(s)
 }
 
-// check compares what changes led to with what the peer has. Both are the state of one
-// revision of the object API and have to be the same; if a fault made them differ, an
-// entry would go on with objects that are gone until each changes once more. The counter
-// shows it, and the next answer brings the whole.
-func (p *Puller) check(s *wirepb.State) {
+// checkDigest compares the state after incremental changes with the state of the peer. Both
+// are of the same revision of the object API and must be equal. If a fault makes them
+// differ, the entry would keep deleted objects until each of them changes again. Such a
+// divergence is counted, and the next request asks for the full state.
+func (p *Puller) checkDigest(s *wirepb.State) {
 	kind := s.GetKind()
 	if p.cfg.Replica.Revision(kind) != s.GetRevision() || p.cfg.Replica.Digest(kind) == s.GetDigest() {
 		return
 	}
-	p.strayed.Inc(1)
-	p.stray[kind] = true
+	p.divergences.Inc(1)
+	p.diverged[kind] = true
 }
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -13,35 +13,35 @@
 	"github.com/briarturn/briarturn/objectapi"
 )
 
-// Replica keeps what an entry last read of some kinds. It is an objectapi.Sink that
-// passes on to the next one what is no older than what it holds, so that a watch of
-// the object API and answers of peers can feed it side by side. It is safe for
+// Replica keeps the last state that an entry read of some kinds. It is an objectapi.Sink
+// that forwards to the next sink only what is not older than the held state, so that a
+// watch of the object API and responses of peers can feed it concurrently. It is safe for
 // concurrent use; mu guards all fields and is held while the next sink is called.
 type Replica struct {
 	next  objectapi.Sink
 	clock boottime.Clock
 
 	mu    sync.Mutex
-	kinds map[string]*state
+	kinds map[string]*kindState
 }
 
-// state is what is known of one kind.
-type state struct {
+// kindState is the held state of one kind.
+type kindState struct {
 	revision  uint64
-	confirmed boottime.Instant // when a call began that proved it current
+	confirmed boottime.Instant // start of the last call that confirmed the state
 	objects   map[string]objectapi.Object
 	history   history
 }
 
 var _ objectapi.Sink = (*Replica)(nil)
 
-// New returns an empty Replica before the next sink.
+// New returns an empty Replica that forwards to next.
 func New(next objectapi.Sink, clock boottime.Clock) *Replica {
-	return &Replica{next: next, clock: clock, kinds: map[string]*state{}}
+	return &Replica{next: next, clock: clock, kinds: map[string]*kindState{}}
 }
 
-// Snapshot implements objectapi.Sink. A listing that is older than what is held
-// changes nothing: it overtook a newer one on another way.
+// Snapshot implements objectapi.Sink. A listing that is older than the held state is
+// ignored: a newer state arrived first from another source.
 func (r *Replica) Snapshot(kind string, l objectapi.Listing) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -49,7 +49,7 @@
 	if old != nil && l.Revision < old.revision {
 		return
 	}
-	s := &state{revision: l.Revision, confirmed: l.Asked, objects: make(map[string]objectapi.Object, len(l.Objects))}
+	s := &kindState{revision: l.Revision, confirmed: l.Asked, objects: make(map[string]objectapi.Object, len(l.Objects))}
 	if old != nil {
 		s.confirmed = max(s.confirmed, old.confirmed)
 	}
@@ -58,15 +58,16 @@
 	}
 	if old != nil && l.Revision > old.revision {
 		s.history = old.history
-		s.history.add(batch{from: old.revision, to: l.Revision, net: true, changed: difference(old.objects, s.objects)})
+		s.history.add(batch{from: old.revision, to: l.Revision, netDiff: true, changed: diffStates(old.objects, s.objects)})
 	}
 	r.kinds[kind] = s
 	r.next.Snapshot(kind, l)
 }
 
-// Events implements objectapi.Sink. A peer may have brought a newer state since the
-// watch was begun; its events up to there are left out. A listing that goes further
-// is taken whole: it ends in the state of its revision, whatever it repeats.
+// Events implements objectapi.Sink. A peer may have delivered a newer state since the watch
+// began; a listing up to an older revision is ignored, and one up to the held revision only
+// confirms the state. A listing up to a newer revision is applied completely: it results in
+// the state of its revision, even if it repeats changes.
 func (r *Replica) Events(kind string, l objectapi.Listing) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,8 +92,9 @@
 	r.next.Events(kind, l)
 }
 
-// Confirm notes that a state with the same objects as the one held was proved current
-// by a call begun at confirmed, and reports whether they are the same.
+// Confirm records that a state with the given digest was confirmed as current by a call that
+// began at confirmed. It returns false and changes nothing if the held objects have another
+// digest.
 func (r *Replica) Confirm(kind string, digest uint64, confirmed boottime.Instant) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -105,8 +107,8 @@
 	return true
 }
 
-// Age returns how long ago a kind was last proved current; ok is false before its
-// first listing.
+// Age returns the time since the state of a kind was last confirmed as current; ok is false
+// before its first listing.
 func (r *Replica) Age(kind string) (age time.Duration, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -117,8 +119,8 @@
 	return r.clock().Sub(s.confirmed), true
 }
 
-// Revision returns the revision of the object API that what is held of a kind is of; 0
-// before its first listing.
+// Revision returns the revision of the object API of the held state of a kind, or 0 before
+// its first listing.
 func (r *Replica) Revision(kind string) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -128,8 +130,7 @@
 	return 0
 }
 
-// Digest tells the objects that are held of a kind from others; 0 before its first
-// listing.
+// Digest returns a digest of the held objects of a kind, or 0 before its first listing.
 func (r *Replica) Digest(kind string) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,39 +140,39 @@
 	return 0
 }
 
-// copied is what is given to a peer.
-type copied struct {
-	listing objectapi.Listing // without objects where the peer has them
-	changes bool              // the objects are what changed, deletions as tombstones
-	digest  uint64
-	proof   ConfirmedOffset
+// stateCopy is the copy of a kindState, or of its changes, that a peer receives.
+type stateCopy struct {
+	listing     objectapi.Listing // without objects if the peer has the same state
+	incremental bool              // the objects are the changes, with deletions as tombstones
+	digest      uint64
+	confirmed   ConfirmedOffset
 }
 
-// read returns what is held of a kind for a peer with objects of that digest and
-// revision, whose question arrived at a time.
-func (r *Replica) read(kind string, digest, revision uint64, arrived boottime.Instant) (copied, bool) {
+// copyState returns what a peer that has the given digest and revision of a kind lacks. The
+// peer's request arrived at arrived.
+func (r *Replica) copyState(kind string, digest, revision uint64, arrived boottime.Instant) (stateCopy, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.kinds[kind]
 	if s == nil {
-		return copied{}, false
+		return stateCopy{}, false
 	}
-	c := copied{listing: objectapi.Listing{Revision: s.revision}, digest: s.digest(), proof: proofAt(s.confirmed, arrived)}
+	c := stateCopy{listing: objectapi.Listing{Revision: s.revision}, digest: s.digest(), confirmed: newConfirmedOffset(s.confirmed, arrived)}
 	if c.digest == digest {
 		return c, true
 	}
-	c.listing.Objects, c.changes = s.history.since(revision)
-	if !c.changes {
+	c.listing.Objects, c.incremental = s.history.changesSince(revision)
+	if !c.incremental {
 		c.listing.Objects = slices.Collect(maps.Values(s.objects))
 	}
 	return c, true
 }
 
-// digest is the same for the same objects in the same versions. Revisions of the
-// whole don't serve: one entry's watch may have returned since and another's not,
-// with nothing changed.
-func (s *state) digest() uint64 {
-	sum := uint64(len(s.objects)) + 1 // 0 stands for no state
+// digest returns the same value for the same objects in the same versions. The revision of
+// the object API can't replace it: the watch of one entry may have returned a newer revision
+// than that of another although no object changed.
+func (s *kindState) digest() uint64 {
+	sum := uint64(len(s.objects)) + 1 // 0 is reserved for no state
 	for name, o := range s.objects {
 		sum += xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(name), o.Version))
 	}
--- a/replica/service.go
+++ b/replica/service.go
@@ -8,15 +8,15 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// smallState bounds the objects, in bytes, that are sent to a peer that didn't ask for
-// the whole. A question has a short time limit, so that a peer that is gone costs
-// little; a configuration of 1,400 routes has 350 kB, which takes 140 ms on a link of
-// 20 Mbit/s to one peer and more to a dozen at once. Sent in that time limit it would
-// be cut off, and asked for again 300 ms later.
-const smallState = 64 << 10
+// maxInlineBytes is the maximum size of the objects, in bytes, that are sent to a peer that
+// didn't ask for the whole state. Requests have a short timeout, so that a dead peer costs
+// little time. A configuration of 1,400 routes has 350 kB, which takes 140 ms to one peer on
+// a link of 20 Mbit/s, and more to a dozen peers at once. Under the short timeout the
+// transfer would be aborted and requested again 300 ms later.
+const maxInlineBytes = 64 << 10
 
-// Service answers peers out of a Replica. Of the entries' calls it serves PullStates
-// only.
+// Service serves the states of a Replica to peers. Of the calls between entries it implements
+// only PullStates.
 type Service struct {
 	wirepb.DRPCEntryUnimplementedServer
 	replica *Replica
@@ -25,39 +25,41 @@
 
 var _ wirepb.DRPCEntryServer = (*Service)(nil)
 
-// NewService returns a Service of a Replica.
+// NewService returns a Service that serves a Replica.
 func NewService(r *Replica, clock boottime.Clock) *Service { return &Service{replica: r, clock: clock} }
 
-// PullStates implements wirepb.DRPCEntryServer: of each kind how long ago it was
-// current and, if the peer has other objects, what changed since, or all of them. Kinds
-// that aren't known yet are left out.
+// PullStates implements wirepb.DRPCEntryServer. For each requested kind it returns when the
+// state was last confirmed and, if the peer has other objects, the changes since the peer's
+// revision or all objects. Kinds without a state yet are left out.
 func (s *Service) PullStates(_ context.Context, in *wirepb.StatesRequest) (*wirepb.States, error) {
 	arrived := s.clock()
 	out := &wirepb.States{}
 	for _, held := range in.GetHeld() {
-		if c, ok := s.replica.read(held.GetKind(), held.GetDigest(), held.GetRevision(), arrived); ok {
-			out.States = append(out.States, stateMessage(held, c))
+		if c, ok := s.replica.copyState(held.GetKind(), held.GetDigest(), held.GetRevision(), arrived); ok {
+			out.States = append(out.States, encodeState(held, c))
 		}
 	}
 	return out, nil
 }
 
-func stateMessage(held *wirepb.StateHeld, c copied) *wirepb.State {
+// encodeState converts a state to its wire form. Objects larger than maxInlineBytes are left
+// out unless the peer asked for the whole state.
+func encodeState(held *wirepb.StateHeld, c stateCopy) *wirepb.State {
 	out := &wirepb.State{
 		Kind:     held.GetKind(),
 		Revision: c.listing.Revision,
 		Digest:   c.digest,
-		ProvedUs: time.Duration(c.proof).Microseconds(),
+		ProvedUs: time.Duration(c.confirmed).Microseconds(),
 	}
 	size := 0
 	for _, o := range c.listing.Objects {
 		size += len(o.Data)
 	}
-	if size > smallState && !held.GetWhole() {
+	if size > maxInlineBytes && !held.GetWhole() {
 		out.LeftOut = true
 		return out
 	}
-	out.Changes = c.changes
+	out.Changes = c.incremental
 	for _, o := range c.listing.Objects {
 		out.Objects = append(out.Objects, &wirepb.Object{Kind: o.Kind, Name: o.Name, Version: o.Version, Data: o.Data, Deleted: o.Deleted})
 	}
