--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -50,7 +50,7 @@
 	engineTokens int64
 	policy       routing.Policy
 	shortShare   float64 // see routing.Query
-	life         *request.Life
+	life         *request.Lifecycle
 	asm          *request.Assembler
 	out          sink
 	rnd          *rand.Rand
@@ -83,7 +83,7 @@
 		body:         body,
 		pool:         pool.Name,
 		engineTokens: pool.EngineTokens,
-		life:         request.NewLife(spec.Deadline, spec.Arrived),
+		life:         request.NewLifecycle(spec.Deadline, spec.Arrived),
 		asm:          request.NewAssembler(request.DefaultAssemblerLimits),
 		rnd:          random(),
 	}
@@ -110,7 +110,7 @@
 // to takes one step of the life cycle. A wrong step is a fault of this package;
 // it is counted, and the request goes on.
 func (c *call) to(s request.State) {
-	if err := c.life.To(s, time.Now()); err != nil {
+	if err := c.life.Transition(s, time.Now()); err != nil {
 		c.e.meters.count("entry.bad_transition")
 		c.e.log.WithError(err).WithField("request", c.spec.ID).Error("request life cycle")
 	}
@@ -145,14 +145,14 @@
 
 func (c *call) item() workspace.Item {
 	return workspace.Item{
-		Workspace: c.spec.Workspace,
-		Pool:      c.pool,
-		Class:     c.spec.Class(),
-		Cost:      c.spec.PromptTokens + c.spec.MaxTokens,
-		Prefill:   c.spec.PromptTokens,
-		Expected:  c.expected,
-		Deadline:  c.spec.Deadline,
-		Priority:  c.spec.Priority,
+		Workspace:        c.spec.Workspace,
+		Pool:             c.pool,
+		Class:            c.spec.Class(),
+		Cost:             c.spec.PromptTokens + c.spec.MaxTokens,
+		PrefillTokens:    c.spec.PromptTokens,
+		ExpectedDuration: c.expected,
+		Deadline:         c.spec.Deadline,
+		Priority:         c.spec.Priority,
 	}
 }
 
@@ -174,13 +174,13 @@
 	}
 	best, ok := c.choose(now)
 	left := c.spec.Deadline.Sub(now)
-	if !ok || best.Expected <= left {
-		c.expected = best.Expected
+	if !ok || best.ExpectedTTFT <= left {
+		c.expected = best.ExpectedTTFT
 		return nil
 	}
 	return notRun(http.StatusServiceUnavailable, reasonDeadline, "admission",
-		"the time limit can't be met: the first token is expected in "+best.Expected.Round(time.Millisecond).String(),
-		max(best.Expected-left, retrySoon))
+		"the time limit can't be met: the first token is expected in "+best.ExpectedTTFT.Round(time.Millisecond).String(),
+		max(best.ExpectedTTFT-left, retrySoon))
 }
 
 // judge asks the quarantine whether and how the request may run.
@@ -189,7 +189,7 @@
 		return nil // a plain service has no prompt to blame
 	}
 	verdict := c.e.cfg.Quarantine.Verdict(c.spec.Fingerprint, now)
-	c.alone = verdict == quarantine.Alone
+	c.alone = verdict == quarantine.RunAlone
 	if verdict != quarantine.Refuse {
 		return nil
 	}
@@ -253,10 +253,10 @@
 // chosen server shall take the request, 0 for any. After some refusals any will
 // do: all servers may be busier than this entry knows.
 func (c *call) maxWait(to routing.Choice) uint64 {
-	if c.body == nil || to.Wait == 0 || c.refusals >= waitRefusals || c.spec.Class() >= request.ClassLarge {
+	if c.body == nil || to.QueueWait == 0 || c.refusals >= waitRefusals || c.spec.Class() >= request.ClassLarge {
 		return 0
 	}
-	return uint64((to.Wait + waitSlack).Milliseconds())
+	return uint64((to.QueueWait + waitSlack).Milliseconds())
 }
 
 // reach steps to a state unless the request is there, or answering, already.
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -65,37 +65,37 @@
 
 func (e *exchange) noServer() Reason {
 	if e.mayRun {
-		return ReasonUnknown
+		return ReasonOutcomeUnknown
 	}
 	if e.tooLate > 0 {
-		return ReasonNoTime
+		return ReasonDeadlineUnmeetable
 	}
 	if reason := reasonOf(e.keptOut); reason != "" {
 		return reason
 	}
 	if e.sends > 0 {
-		return ReasonServersFull
+		return ReasonServersRefused
 	}
 	return ReasonNoServer
 }
 
 func (e *exchange) query() placement.Query {
 	return placement.Query{
-		Engine:         e.service.Engine,
-		InputTokens:    e.env.Prompt.InputTokens,
-		OutputTokens:   e.env.Prompt.OutputTokens,
-		Objective:      e.route.Objective - time.Since(e.begun),
-		PauseObjective: e.route.PauseObjective,
-		Left:           time.Until(e.end),
-		Waited:         time.Since(e.begun),
-		Rank:           e.rank(),
-		Stream:         e.route.Kind == routetable.Stream,
+		Engine:              e.service.Engine,
+		InputTokens:         e.env.Prompt.InputTokens,
+		MaxOutputTokens:     e.env.Prompt.MaxOutputTokens,
+		FirstTokenObjective: e.route.Objective - time.Since(e.begun),
+		PauseObjective:      e.route.PauseObjective,
+		TimeLeft:            time.Until(e.end),
+		Waited:              time.Since(e.begun),
+		Priority:            e.rank(),
+		Stream:              e.route.Kind == routetable.Stream,
 	}
 }
 
 // rank is that of the request: its workspace's goes before its route's.
 func (e *exchange) rank() int {
-	if e.workspace != nil && e.workspace.Ranked {
+	if e.workspace != nil && e.workspace.HasPriority {
 		return e.workspace.Priority
 	}
 	return e.route.Priority
@@ -103,11 +103,11 @@
 
 func (e *exchange) send(ctx context.Context, run *run) (*upstream.Response, error) {
 	header := endToEnd(e.incoming.Header)
-	a := Attempt{
-		Patience:    time.Until(e.end),
-		Instance:    run.Server.Instance,
-		LastEventID: e.env.LastEventID,
-		Urgency:     run.Urgency,
+	a := AttemptInfo{
+		Timeout:       time.Until(e.end),
+		Instance:      run.Server.Instance,
+		LastEventID:   e.env.LastEventID,
+		QueuePriority: run.QueuePriority,
 	}
 	if e.workspace != nil {
 		a.Workspace = e.workspace.Name
@@ -116,14 +116,14 @@
 		a.LastEventID = e.stream.lastID
 	}
 	a.Helpers = helpersOf(run.Placement, run.memory)
-	e.gateway.cfg.Protocol.Encode(header, a)
+	e.gateway.cfg.Protocol.EncodeAttempt(header, a)
 	return e.gateway.cfg.Pool.Do(ctx, run.Server.Address, &upstream.Request{
-		Method: e.incoming.Method,
-		Target: target(e.incoming),
-		Host:   e.incoming.Host,
-		Header: header,
-		Body:   e.body,
-		Mine:   e.mine,
+		Method:          e.incoming.Method,
+		Target:          target(e.incoming),
+		Host:            e.incoming.Host,
+		Header:          header,
+		Body:            e.body,
+		MatchesResponse: e.mine,
 	})
 }
 
@@ -138,7 +138,7 @@
 // mine reports whether an answer is to this request. One without an id can only
 // be a refusal made before the server had read the head.
 func (e *exchange) mine(status int, h http.Header) bool {
-	v := e.gateway.cfg.Protocol.Judge(status, h)
+	v := e.gateway.cfg.Protocol.DecodeResponse(status, h)
 	return v.ID == e.env.ID || v.ID == "" && v.NotRun
 }
 
@@ -157,24 +157,24 @@
 	if sent {
 		e.suspect(ctx, run.Placement)
 	}
-	return e.after(request.Situation{Sent: sent, Deadline: timeUp(ctx)})
+	return e.after(request.AttemptOutcome{Sent: sent, Deadline: timeUp(ctx)})
 }
 
 // answered follows the head of an answer.
 func (e *exchange) answered(ctx context.Context, run *run, r *upstream.Response) (step, Reason) {
 	e.sends++
-	v := e.gateway.cfg.Protocol.Judge(r.Status, r.Header)
+	v := e.gateway.cfg.Protocol.DecodeResponse(r.Status, r.Header)
 	if v.NotRun {
 		run.Refused(v.AtFault)
 		e.logRefused(r.Status, v.AtFault)
-		return e.after(request.Situation{Refused: true, Sent: true})
+		return e.after(request.AttemptOutcome{Refused: true, Sent: true})
 	}
 	if e.stream != nil && r.Status == http.StatusOK && isEvents(r.Header) {
 		return e.passStream(ctx, run, r)
 	}
 	if e.stream != nil && e.stream.started {
 		// The head is out; a failure to go on can't be passed on.
-		return e.after(request.Situation{Sent: true, Deadline: timeUp(ctx)})
+		return e.after(request.AttemptOutcome{Sent: true, Deadline: timeUp(ctx)})
 	}
 	return e.passAnswer(ctx, r)
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -84,7 +84,7 @@
 	wantStatus(t, r, err, http.StatusServiceUnavailable) // it may have been added since
 	r, _, err = w.ask(http.MethodGet, "/safe/", "")
 	wantStatus(t, r, err, http.StatusOK)
-	w.routes.Prove(*w.clock)
+	w.routes.MarkCurrent(*w.clock)
 	r, _, err = w.ask(http.MethodGet, "/keyed/", "", hKey, "k")
 	wantStatus(t, r, err, http.StatusOK)
 }
@@ -97,11 +97,11 @@
 	asked     bool
 }
 
-func (p *waitOnce) Place(q placement.Query, candidates []placement.Candidate) (placement.Placement, placement.Answer) {
+func (p *waitOnce) Place(q placement.Query, candidates []placement.Candidate) (placement.Placement, placement.Decision) {
 	if !p.asked {
 		p.asked = true
 		p.meanwhile()
-		return placement.Placement{}, placement.Later
+		return placement.Placement{}, placement.Deferred
 	}
 	return p.Placer.Place(q, candidates)
 }
@@ -460,7 +460,7 @@
 
 func TestShutdownPhases(t *testing.T) {
 	w := newWorld(t, answers("ok")).configured()
-	w.gateway.Leave()
+	w.gateway.BeginShutdown()
 	r, _, err := w.ask(http.MethodGet, "/safe/", "")
 	wantStatus(t, r, err, http.StatusOK)
 	if !r.Close {
@@ -521,7 +521,7 @@
 	for w.arrivals() == "" {
 		time.Sleep(time.Millisecond)
 	}
-	for end := time.Now().Add(time.Minute); w.gateway.Running() > 0; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(time.Minute); w.gateway.ActiveRequests() > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the request is still in progress")
 		}
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -38,8 +38,8 @@
 
 type testProtocol struct{}
 
-func (testProtocol) Decode(h http.Header) (Envelope, error) {
-	e := Envelope{ID: h.Get(hID), Key: h.Get(hKey), LastEventID: h.Get(hLastEvent)}
+func (testProtocol) DecodeRequest(h http.Header) (RequestInfo, error) {
+	e := RequestInfo{ID: h.Get(hID), APIKey: h.Get(hKey), LastEventID: h.Get(hLastEvent)}
 	if e.ID == "" {
 		return e, errors.New("no id")
 	}
@@ -47,15 +47,15 @@
 		e.Prompt.InputTokens = tokens
 	}
 	if ms, err := strconv.Atoi(h.Get(hPatience)); err == nil {
-		e.Patience = time.Duration(ms) * time.Millisecond
+		e.Timeout = time.Duration(ms) * time.Millisecond
 	}
 	return e, nil
 }
 
-func (testProtocol) Encode(h http.Header, a Attempt) {
+func (testProtocol) EncodeAttempt(h http.Header, a AttemptInfo) {
 	h.Del(hKey)
 	h.Del(hWorkspace)
-	h.Set(hPatience, strconv.FormatInt(a.Patience.Milliseconds(), 10))
+	h.Set(hPatience, strconv.FormatInt(a.Timeout.Milliseconds(), 10))
 	h.Set(hInstance, a.Instance)
 	if a.Workspace != "" {
 		h.Set(hWorkspace, a.Workspace)
@@ -65,8 +65,8 @@
 	}
 }
 
-func (testProtocol) Judge(_ int, h http.Header) Verdict {
-	return Verdict{ID: h.Get(hID), NotRun: h.Get(hNotRun) != ""}
+func (testProtocol) DecodeResponse(_ int, h http.Header) ResponseInfo {
+	return ResponseInfo{ID: h.Get(hID), NotRun: h.Get(hNotRun) != ""}
 }
 
 // world is a gateway before some backend servers.
@@ -87,12 +87,12 @@
 
 type witness struct{ records []quarantine.Record }
 
-func (w *witness) Died(r quarantine.Record) { w.records = append(w.records, r) }
+func (w *witness) ReportDeath(r quarantine.Record) { w.records = append(w.records, r) }
 
 // inOrder places on the first candidate by instance, so that tests know where.
 type inOrder struct{ planner *placement.Planner }
 
-func (p inOrder) Place(q placement.Query, candidates []placement.Candidate) (placement.Placement, placement.Answer) {
+func (p inOrder) Place(q placement.Query, candidates []placement.Candidate) (placement.Placement, placement.Decision) {
 	first := -1
 	for i, c := range candidates {
 		if first < 0 || c.Instance < candidates[first].Instance {
@@ -100,7 +100,7 @@
 		}
 	}
 	if first < 0 {
-		return placement.Placement{}, placement.NoRoom
+		return placement.Placement{}, placement.NoCapacity
 	}
 	return p.planner.Place(q, candidates[first:first+1])
 }
@@ -117,20 +117,20 @@
 	w.warmup.SetEntries(nil, time.Now())
 	w.routes = routetable.NewHolder(func() boottime.Instant { return *w.clock })
 	r := metrics.NewRegistry()
-	ledger := placement.NewLedger(func(uint64) *placement.Engine { return nil })
+	ledger := placement.NewLedger(func(uint64) *placement.EngineProfile { return nil })
 	w.gateway = New(Config{
-		Protocol:  testProtocol{},
-		Routes:    w.routes,
-		Directory: w.directory,
-		Zones:     w.zones,
-		Warmup:    w.warmup,
-		Pool:      upstream.NewPool(r),
-		Placer:    inOrder{placement.NewPlanner(ledger, 1, time.Now, nil)},
-		Budget:    NewRetryBudget(0, 1000, time.Minute, 1),
-		Suspects:  quarantine.NewBook(QuarantineOptions()),
-		Witness:   w.witness,
-		Log:       quiet.Logger(),
-		Metrics:   r,
+		Protocol:      testProtocol{},
+		Routes:        w.routes,
+		Directory:     w.directory,
+		Zones:         w.zones,
+		Warmup:        w.warmup,
+		Pool:          upstream.NewPool(r),
+		Placer:        inOrder{placement.NewPlanner(ledger, 1, time.Now, nil)},
+		Budget:        NewRetryBudget(0, 1000, time.Minute, 1),
+		Quarantine:    quarantine.NewTracker(QuarantineOptions()),
+		DeathReporter: w.witness,
+		Log:           quiet.Logger(),
+		Metrics:       r,
 	})
 	for i, handler := range servers {
 		name := fmt.Sprintf("s%d", i+1)
@@ -149,7 +149,7 @@
 	return w
 }
 
-func declared(revision uint64) routetable.Declared {
+func declared(revision uint64) routetable.Config {
 	route := func(prefix string, kind routetable.Kind) routetable.Route {
 		return routetable.Route{
 			Name: prefix, Host: "h", Prefix: prefix, Kind: kind, Public: true, MaxAttempts: 2,
@@ -158,7 +158,7 @@
 	}
 	stream, keyed := route("/stream/", routetable.Stream), route("/keyed/", routetable.Idempotent)
 	stream.Resumable, keyed.Public = true, false
-	return routetable.Declared{
+	return routetable.Config{
 		Revision:   revision,
 		Routes:     []routetable.Route{route("/safe/", routetable.Idempotent), route("/once/", routetable.NonIdempotent), stream, route("/whole/", routetable.Stream), keyed},
 		Services:   []routetable.Service{{Name: "s"}},
--- a/internal/gatewaynode/node.go
+++ b/internal/gatewaynode/node.go
@@ -56,9 +56,9 @@
 // while nothing changes: the readers of each availability zone, each watch once in its
 // wait.
 func QuietReadsPerSecond(entries, zones int) float64 {
-	readers := min(entries, max(zones*peering.ReadersPerZone, peering.LeastReaders))
+	readers := min(entries, max(zones*peering.ReadersPerZone, peering.MinReaders))
 	perReader := 0.0
-	for _, wait := range []time.Duration{configWait, serversWait, peering.PresenceWait} {
+	for _, wait := range []time.Duration{configWait, serversWait, peering.PresenceWatchWait} {
 		perReader += float64(time.Second) / float64(wait)
 	}
 	return float64(readers) * perReader
@@ -102,7 +102,7 @@
 	Options        gateway.Options
 	Policy         placement.Policy // empty: placement.LeastLoss
 	// Engines gives orders over the node's connections.
-	Engines  func(*upstream.Pool) reservation.Engines
+	Engines  func(*upstream.Pool) reservation.EngineClient
 	Store    objectapi.Store
 	Decoder  Decoder
 	Protocol gateway.Protocol
@@ -157,20 +157,20 @@
 		return nil, err
 	}
 	incarnation := rand.Uint64()
-	suspects := quarantine.NewBook(gateway.QuarantineOptions())
+	suspects := quarantine.NewTracker(gateway.QuarantineOptions())
 	budget := gateway.NewRetryBudget(cfg.RetryRatio, cfg.RetrySlack, cfg.RetryWindow, assumedEntries)
 	exchange, err := peering.Start(ctx, peering.Config{
-		Name:        cfg.Name,
-		Listen:      cfg.Datagram,
-		RPC:         rpc,
-		Incarnation: incarnation,
-		Zone:        cfg.Zone,
-		Region:      cfg.Region,
-		LinkMbps:    cfg.LinkMbps,
-		Store:       cfg.Store,
-		Ledger:      n.ledger,
-		Suspects:    suspects,
-		Entries: func(names []string, listed bool) {
+		Name:          cfg.Name,
+		ListenAddress: cfg.Datagram,
+		RPCAddress:    rpc,
+		Incarnation:   incarnation,
+		Zone:          cfg.Zone,
+		Region:        cfg.Region,
+		LinkMbps:      cfg.LinkMbps,
+		Store:         cfg.Store,
+		Ledger:        n.ledger,
+		Quarantine:    suspects,
+		OnEntriesChanged: func(names []string, listed bool) {
 			budget.SetEntries(len(names))
 			if listed {
 				n.warmup.SetEntries(names, time.Now())
@@ -185,21 +185,21 @@
 	}
 	n.exchange = exchange
 	n.gateway = gateway.New(gateway.Config{
-		Protocol:  cfg.Protocol,
-		Routes:    n.routes,
-		Directory: n.directory,
-		Zones:     n.zones,
-		Warmup:    n.warmup,
-		Pool:      n.pool,
-		Placer:    placement.NewPlanner(n.ledger, incarnation, time.Now, exchange.Teller()).Use(cmp.Or(cfg.Policy, placement.LeastLoss)),
-		Budget:    budget,
-		Suspects:  suspects,
-		Witness:   exchange.Witness(),
-		Reserver:  reservation.New(cfg.Engines(n.pool), incarnation, cfg.Log, cfg.Metrics),
-		Options:   cfg.Options,
-		Log:       cfg.Log,
-		Sampler:   cfg.Sampler,
-		Metrics:   cfg.Metrics,
+		Protocol:      cfg.Protocol,
+		Routes:        n.routes,
+		Directory:     n.directory,
+		Zones:         n.zones,
+		Warmup:        n.warmup,
+		Pool:          n.pool,
+		Placer:        placement.NewPlanner(n.ledger, incarnation, time.Now, exchange.AttemptPublisher()).SetPolicy(cmp.Or(cfg.Policy, placement.LeastLoss)),
+		Budget:        budget,
+		Quarantine:    suspects,
+		DeathReporter: exchange.DeathReporter(),
+		Reserver:      reservation.New(cfg.Engines(n.pool), incarnation, cfg.Log, cfg.Metrics),
+		Options:       cfg.Options,
+		Log:           cfg.Log,
+		Sampler:       cfg.Sampler,
+		Metrics:       cfg.Metrics,
 	})
 	if err := n.serve(); err != nil {
 		stop()
@@ -209,7 +209,7 @@
 	follow := n.follower()
 	n.watch(ctx, cfg.Decoder.ConfigKind, configWait, follow)
 	n.watch(ctx, cfg.Decoder.ServersKind, serversWait, follow)
-	n.watch(ctx, peering.KindGateway, peering.PresenceWait, follow)
+	n.watch(ctx, peering.KindGateway, peering.PresenceWatchWait, follow)
 	if n.evacuates() {
 		n.watch(ctx, cfg.Decoder.EvacuationsKind, n.evacuationsWait(), follow)
 	}
@@ -239,7 +239,7 @@
 
 func (n *Node) lost(kind string) {
 	if kind == n.cfg.Decoder.ServersKind {
-		n.directory.Lost()
+		n.directory.MarkStoreUnavailable()
 	}
 }
 
@@ -250,7 +250,7 @@
 			known[s.Address], instances[s.Instance] = true, true
 		}
 		n.pool.Sweep(func(address string) bool { return known[address] })
-		n.warmup.Forget(func(instance string) bool { return instances[instance] })
-		n.ledger.Forget(func(server uint64) bool { return n.engines.knows(n.directory, server) })
+		n.warmup.Retain(func(instance string) bool { return instances[instance] })
+		n.ledger.PruneServers(func(server uint64) bool { return n.engines.knows(n.directory, server) })
 	}
 }
--- a/internal/gatewaynode/sink.go
+++ b/internal/gatewaynode/sink.go
@@ -30,7 +30,7 @@
 	case s.cfg.Decoder.EvacuationsKind:
 		s.replaceEvacuations(l)
 	case peering.KindGateway:
-		s.exchange.Roster().Snapshot(kind, l)
+		s.exchange.PresenceSink().Snapshot(kind, l)
 	}
 }
 
@@ -44,7 +44,7 @@
 	case s.cfg.Decoder.EvacuationsKind:
 		s.changeEvacuations(l)
 	case peering.KindGateway:
-		s.exchange.Roster().Events(kind, l)
+		s.exchange.PresenceSink().Events(kind, l)
 	}
 }
 
@@ -66,7 +66,7 @@
 		}
 		return
 	}
-	s.routes.Prove(l.Asked)
+	s.routes.MarkCurrent(l.Asked)
 }
 
 func (s *sink) replaceServers(l objectapi.Listing) {
@@ -79,14 +79,14 @@
 		}
 	}
 	s.directory.Replace(servers, now)
-	s.directory.Prove(l.Asked)
+	s.directory.MarkCurrent(l.Asked)
 	s.listed.Store(true)
 	s.cfg.Log.WithFields(logrus.Fields{"servers": len(servers), "object_revision": l.Revision}).Info("backend servers listed")
 }
 
 func (s *sink) changeServers(l objectapi.Listing) {
 	now := time.Now()
-	s.directory.Confirm(now)
+	s.directory.MarkStoreAvailable(now)
 	for _, o := range l.Objects {
 		if o.Deleted {
 			s.directory.Remove(o.Name, now)
@@ -106,12 +106,12 @@
 		}
 		s.logServer(server, state, o.Version)
 	}
-	s.directory.Prove(l.Asked)
+	s.directory.MarkCurrent(l.Asked)
 }
 
 // noteRestart forgets the work of a server that has started again under its name.
 func (s *sink) noteRestart(server upstream.Server, now time.Time) {
-	if !s.directory.Restarted(server) {
+	if !s.directory.IsRestart(server) {
 		return
 	}
 	s.ledger.Restarted(placement.ServerKey(server.Instance), now)
--- a/internal/gatewaynode/status.go
+++ b/internal/gatewaynode/status.go
@@ -23,10 +23,10 @@
 
 // Status implements admin.StatusProvider.
 func (n *Node) Status() admin.Status {
-	view := n.zones.View(n.directory.Proved())
+	view := n.zones.View(n.directory.CurrentAsOf())
 	s := admin.Status{
-		Name: n.cfg.Name, Role: role, Zone: n.cfg.Zone, Ready: n.Ready() == nil, Draining: n.gateway.Ending(),
-		Running: n.gateway.Running(), EvacuatedZones: view.Zones(), Servers: []admin.Server{},
+		Name: n.cfg.Name, Role: role, Zone: n.cfg.Zone, Ready: n.Ready() == nil, Draining: n.gateway.ShuttingDown(),
+		Running: n.gateway.ActiveRequests(), EvacuatedZones: view.Zones(), Servers: []admin.Server{},
 	}
 	if age, ok := n.zones.Age(); ok && n.evacuates() {
 		s.ZonesAgeMS = age.Milliseconds()
@@ -40,7 +40,7 @@
 		switch {
 		case view.Evacuated(server.Zone):
 			state = stateEvacuated
-		case now.Before(server.ColdUntil) || view.Restored(server.Zone):
+		case now.Before(server.ColdUntil) || view.RecentlyRestored(server.Zone):
 			state = stateCold
 		}
 		s.Servers = append(s.Servers, statusOf(server, state))
