--- a/routing/baseline.go
+++ b/routing/baseline.go
@@ -7,7 +7,7 @@
 	"github.com/briarturn/briarturn/backend"
 )
 
-// roundRobin takes the usable servers in turn, whatever their load.
+// roundRobin chooses the usable servers in turn, regardless of their load.
 type roundRobin struct {
 	next atomic.Uint64
 }
@@ -30,14 +30,14 @@
 		if !usable(q, row) {
 			continue
 		}
-		out = append(out, choiceOf(row, &candidate{}))
+		out = append(out, newChoice(row, &candidate{}))
 		found++
 	}
 	return out
 }
 
-// leastLoad takes the usable servers with the fewest requests: as sampled, and
-// sent by this entry since. It looks at every row.
+// leastLoad chooses the usable servers with the fewest requests: those in the load
+// sample plus those that this entry sent since. It scans every row.
 type leastLoad struct{}
 
 // Name implements Policy.
@@ -50,7 +50,7 @@
 	}
 	var best [maxCandidates]candidate
 	n, limit := 0, min(max, len(best))
-	start := rnd.IntN(len(rows)) // ties go to the first found
+	start := rnd.IntN(len(rows)) // ties go to the first row scanned
 	for i := range rows {
 		at := (start + i) % len(rows)
 		row := &rows[at]
@@ -62,13 +62,14 @@
 	}
 	for i := range best[:n] {
 		row := &rows[best[i].row]
-		best[i].cost = 0 // a count of requests is no time
-		out = append(out, choiceOf(row, &best[i]))
+		best[i].cost = 0 // the cost is a count of requests, not a time
+		out = append(out, newChoice(row, &best[i]))
 	}
 	return out
 }
 
-// insertCandidate keeps the first n of best sorted by cost.
+// insertCandidate inserts c into best, of which the first n are in use, sorted by cost. It
+// returns the new n.
 func insertCandidate(best []candidate, n int, c candidate) int {
 	if n == len(best) {
 		if c.cost >= best[n-1].cost {
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -10,31 +10,31 @@
 
 var benchSizes = []int{100, 1_000, 12_000}
 
-// BenchmarkChoose measures one decision over rows that are at hand.
+// BenchmarkChoose measures one decision over rows already taken from the table.
 func BenchmarkChoose(b *testing.B) {
 	for _, name := range []string{PolicyCost, PolicyLeastLoad, PolicyRoundRobin} {
 		for _, n := range benchSizes {
 			b.Run(fmt.Sprintf("%s/rows=%d", name, n), func(b *testing.B) {
-				benchChoose(b, name, manyRows(n), query(2_000))
+				benchChoose(b, name, manyRows(n), newQuery(2_000))
 			})
 		}
 	}
 }
 
-// BenchmarkChooseRare measures the decisions that look at more: of a long
-// prompt, and of one that only a single server of the pool can take.
+// BenchmarkChooseRare measures the decisions that inspect more rows: for a long
+// prompt, and for a pool in which only one server can take the request.
 func BenchmarkChooseRare(b *testing.B) {
 	for _, n := range benchSizes {
 		rows := manyRows(n)
 		b.Run(fmt.Sprintf("long/rows=%d", n), func(b *testing.B) {
-			benchChoose(b, PolicyCost, rows, query(150_000))
+			benchChoose(b, PolicyCost, rows, newQuery(150_000))
 		})
 		for i := range rows {
 			rows[i].State = backend.StateLeaving
 		}
 		rows[n/2].State = backend.StateLive
 		b.Run(fmt.Sprintf("lone/rows=%d", n), func(b *testing.B) {
-			benchChoose(b, PolicyCost, rows, query(2_000))
+			benchChoose(b, PolicyCost, rows, newQuery(2_000))
 		})
 	}
 }
@@ -48,13 +48,13 @@
 	}
 }
 
-// BenchmarkSampleAndChoose measures what an entry does for a request: it takes
-// a sample of the table and decides over it.
+// BenchmarkSampleAndChoose measures what an entry does per request: it samples the
+// table and decides over the sample.
 func BenchmarkSampleAndChoose(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprintf("rows=%d", n), func(b *testing.B) {
-			p, table, rnd := mustNew(b, PolicyCost), manyServers(n), newRand()
-			q := query(2_000)
+			p, table, rnd := mustNew(b, PolicyCost), tableOf(n), newRand()
+			q := newQuery(2_000)
 			out := make([]Choice, 0, 3)
 			var rows []backend.Row
 			b.ReportAllocs()
@@ -66,7 +66,7 @@
 	}
 }
 
-// BenchmarkTableBytes reports the heap that a table holds for each row.
+// BenchmarkTableBytes reports the heap that a table uses per row.
 func BenchmarkTableBytes(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprintf("rows=%d", n), func(b *testing.B) {
@@ -74,7 +74,7 @@
 			for b.Loop() {
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				table := manyServers(n)
+				table := tableOf(n)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				runtime.KeepAlive(table)
--- a/routing/candidates.go
+++ b/routing/candidates.go
@@ -6,9 +6,9 @@
 	"github.com/briarturn/briarturn/backend"
 )
 
-// Candidates appends to out the rows that a decision needs of a table: all of a
-// small pool, else a sample with the servers that are thought to hold the
-// prompt's prefix. A nil index holds no hints.
+// Candidates appends to out the rows of a table that a decision needs: all rows of a
+// small pool, otherwise a sample that includes the servers expected to have the
+// prompt's prefix cached. A nil index provides no hints.
 func Candidates(t *backend.Table, x *PrefixIndex, q *Query, rnd *rand.Rand, out []backend.Row) []backend.Row {
 	var held [maxHolders]Holder
 	var keys [maxHolders]uint64
--- a/routing/cost.go
+++ b/routing/cost.go
@@ -9,30 +9,32 @@
 )
 
 const (
-	// sampleShort and sampleLarge are what SampleSize returns.
-	sampleShort = 16
-	sampleLarge = 24
-	// sampleRounds is how often a sample is drawn before all rows are scanned,
+	// sampleSizeDefault and sampleSizeLarge are the results of SampleSize, in rows.
+	sampleSizeDefault = 16
+	sampleSizeLarge   = 24
+	// maxSampleRounds is how many samples are drawn in search of a server that can
+	// take the request now. If no drawn row can serve it at all, all rows are scanned,
 	// which happens only where hardly any server can serve the request.
-	sampleRounds = 4
-	// maxCandidates bounds the candidates of one decision.
-	maxCandidates = sampleLarge + maxHolders
-	// tieSpread, in seconds, breaks ties at random: entries that all took the
-	// first of many idle servers would herd on it.
-	tieSpread = 1e-6
+	maxSampleRounds = 4
+	// maxCandidates is the maximum number of candidates of one decision.
+	maxCandidates = sampleSizeLarge + maxHolders
+	// tieJitter is the maximum random cost, in seconds, that is added to break ties.
+	// Without it, all entries would choose the first of many idle servers.
+	tieJitter = 1e-6
 )
 
-// SampleSize returns how many rows of a large pool are looked at for a request,
-// and so how many an entry takes from its table for a decision. Of prompts of
-// the large classes there are few, and a bad choice costs them most.
+// SampleSize returns how many rows of a large pool a decision inspects, which is also
+// how many rows an entry takes from its table. Prompts of the large classes get the
+// larger sample: they are few, and a bad choice costs them most.
 func SampleSize(class request.Class) int {
 	if class >= request.ClassLarge {
-		return sampleLarge
+		return sampleSizeLarge
 	}
-	return sampleShort
+	return sampleSizeDefault
 }
 
-// costPolicy ranks by expected time to first token, among d random candidates.
+// costPolicy ranks servers by expected time to first token. It compares a few random
+// candidates instead of the whole pool.
 type costPolicy struct {
 	costs    *CostModel
 	prefixes *PrefixIndex
@@ -52,9 +54,10 @@
 // Name implements Policy.
 func (p *costPolicy) Name() string { return PolicyCost }
 
-// Choose implements Policy. In a pool of more than maxCandidates rows it looks at
-// a sample, so that its time doesn't grow with the pool; the holders of the
-// prompt's prefix are found in rows that are sorted by key, as Table gives them.
+// Choose implements Policy. In a pool of more than maxCandidates rows it inspects a
+// sample, so that its run time doesn't grow with the pool. It finds the holders of the
+// prompt's prefix by binary search, which requires rows sorted by key, as Table returns
+// them.
 func (p *costPolicy) Choose(q *Query, rows []backend.Row, rnd *rand.Rand, max int, out []Choice) []Choice {
 	if max <= 0 || len(rows) == 0 {
 		return out
@@ -66,11 +69,11 @@
 		rates:   p.costs.Rates(q.Pool),
 		holders: p.prefixes.Holders(q.Prefix, held[:0]),
 	}
-	d.gather(rnd)
-	return d.choose(rnd, max, out)
+	d.collectCandidates(rnd)
+	return d.selectChoices(rnd, max, out)
 }
 
-// decision is the work space of one Choose. It lives on the stack.
+// decision is the working state of one Choose call. It is allocated on the stack.
 type decision struct {
 	q       *Query
 	rows    []backend.Row
@@ -80,29 +83,30 @@
 	n       int
 }
 
-// gather fills in the candidates: all of few rows, else samples. Few are a small
-// pool, or a sample that an entry took with the holders of the prefix.
-func (d *decision) gather(rnd *rand.Rand) {
+// collectCandidates fills in the candidates: all rows if there are at most maxCandidates,
+// otherwise samples. There are few rows in a small pool, and in a sample that an entry took
+// together with the holders of the prefix.
+func (d *decision) collectCandidates(rnd *rand.Rand) {
 	if len(d.rows) <= maxCandidates {
-		d.scan(0, len(d.rows))
+		d.addRange(0, len(d.rows))
 		return
 	}
-	for range sampleRounds {
-		d.sample(rnd)
-		if d.fit() {
+	for range maxSampleRounds {
+		d.addSample(rnd)
+		if d.hasFit() {
 			break
 		}
 	}
 	d.addHolders()
 	if d.n == 0 {
-		d.scanFrom(rnd.IntN(len(d.rows)))
+		d.addAllFrom(rnd.IntN(len(d.rows)))
 	}
 }
 
-// sample considers one random row of each of several parts. The parts begin
-// at a random row: they differ in length by one, and a row that always stood in
-// a shorter part would be drawn, and loaded, more than others.
-func (d *decision) sample(rnd *rand.Rand) {
+// addSample divides the rows into equal ranges and adds one random row of each. The ranges
+// start at a random row because their lengths differ by one: a row that was always in a
+// shorter range would be drawn, and loaded, more often than others.
+func (d *decision) addSample(rnd *rand.Rand) {
 	n, size := len(d.rows), SampleSize(d.q.Class)
 	shift := rnd.IntN(n)
 	for i := range size {
@@ -110,12 +114,12 @@
 			return
 		}
 		low, high := i*n/size, (i+1)*n/size
-		d.consider((shift + low + rnd.IntN(high-low)) % n)
+		d.addCandidate((shift + low + rnd.IntN(high-low)) % n)
 	}
 }
 
-// fit says whether a candidate can take the request now.
-func (d *decision) fit() bool {
+// hasFit reports whether a candidate can take the request now.
+func (d *decision) hasFit() bool {
 	for i := range d.n {
 		if d.cands[i].tier == tierFit {
 			return true
@@ -124,24 +128,25 @@
 	return false
 }
 
-// scanFrom considers all rows, from a random one on, until enough are found.
-func (d *decision) scanFrom(start int) {
-	d.scan(start, len(d.rows))
-	d.scan(0, start)
+// addAllFrom adds rows in order, starting at the given one and wrapping around, until there
+// are maxCandidates.
+func (d *decision) addAllFrom(start int) {
+	d.addRange(start, len(d.rows))
+	d.addRange(0, start)
 }
 
-func (d *decision) scan(low, high int) {
+func (d *decision) addRange(low, high int) {
 	for i := low; i < high && d.n < maxCandidates; i++ {
-		d.consider(i)
+		d.addCandidate(i)
 	}
 }
 
-// addHolders considers the holders of the prefix that no sample met.
+// addHolders adds the holders of the prefix that no sample included.
 func (d *decision) addHolders() {
 	for _, h := range d.holders {
 		at, ok := slices.BinarySearchFunc(d.rows, h.Key, compareRowKey)
 		if ok && d.n < maxCandidates {
-			d.consider(at)
+			d.addCandidate(at)
 		}
 	}
 }
@@ -156,35 +161,35 @@
 	return 0
 }
 
-// consider adds a row to the candidates if it can serve the request.
-func (d *decision) consider(i int) {
+// addCandidate adds a row to the candidates if it can serve the request.
+func (d *decision) addCandidate(i int) {
 	row := &d.rows[i]
 	for k := range d.n {
 		if d.cands[k].row == int32(i) {
 			return
 		}
 	}
-	t := filter(d.q, row)
+	t := classify(d.q, row)
 	if t == tierUnfit {
 		return
 	}
 	c := &d.cands[d.n]
-	*c = candidate{row: int32(i), tier: t, cached: d.cached(row.Key), shortSide: d.shortSide(i)}
-	rate, _ := rowRates(d.rates, row)
-	queueAhead(d.q, row, rate, c)
+	*c = candidate{row: int32(i), tier: t, cachedTokens: d.cachedTokens(row.Key), reservedForShort: d.isReservedForShort(i)}
+	rate, _ := serverRates(d.rates, row)
+	estimateQueue(d.q, row, rate, c)
 	d.n++
 }
 
-// shortSide reports whether a server belongs to the part of the pool that long
-// prompts leave to shorter ones as long as they can. The part is that of the
-// lowest keys, so that all entries agree on it without a word. Many rows are
-// sorted by key, as Table gives them; a sample may begin anywhere.
-func (d *decision) shortSide(i int) bool {
+// isReservedForShort reports whether a server belongs to the share of the pool that long
+// prompts avoid in favor of shorter ones. The share consists of the lowest keys, so that
+// all entries agree on it without communication. More than maxCandidates rows are sorted by
+// key, as Table returns them; a sample may start at any key, so its rows are counted.
+func (d *decision) isReservedForShort(i int) bool {
 	if d.q.Class == request.ClassShort {
 		return false
 	}
 	if len(d.rows) > maxCandidates {
-		return d.inShortShare(i)
+		return d.inReservedShare(i)
 	}
 	lower := 0
 	for k := range d.rows {
@@ -192,15 +197,15 @@
 			lower++
 		}
 	}
-	return d.inShortShare(lower)
+	return d.inReservedShare(lower)
 }
 
-func (d *decision) inShortShare(place int) bool {
+func (d *decision) inReservedShare(place int) bool {
 	return float64(place) < d.q.shortShare()*float64(len(d.rows))
 }
 
-// cached estimates how many tokens of the prompt a server has in its cache.
-func (d *decision) cached(key uint64) int32 {
+// cachedTokens estimates how many tokens of the prompt a server has in its cache.
+func (d *decision) cachedTokens(key uint64) int32 {
 	for _, h := range d.holders {
 		if h.Key == key {
 			return int32(d.q.PromptTokens * int64(h.Blocks) / int64(len(d.q.Prefix)))
@@ -209,33 +214,33 @@
 	return 0
 }
 
-func (d *decision) choose(rnd *rand.Rand, max int, out []Choice) []Choice {
+func (d *decision) selectChoices(rnd *rand.Rand, max int, out []Choice) []Choice {
 	if d.n == 0 {
 		return out
 	}
 	cands := d.cands[:d.n]
-	mean := meanShort(cands)
+	mean := meanShortWork(cands)
 	for i := range cands {
 		c := &cands[i]
-		price(d.q, &d.rows[c.row], d.rates, mean, rnd, c)
-		c.cost += tieSpread * rnd.Float64()
+		estimateCost(d.q, &d.rows[c.row], d.rates, mean, rnd, c)
+		c.cost += tieJitter * rnd.Float64()
 	}
-	rank(cands, choicesFor(d.q.Class, len(cands)), rnd)
+	rankCandidates(cands, comparisonCount(d.q.Class, len(cands)), rnd)
 	for i := range cands[:min(max, len(cands))] {
-		out = append(out, choiceOf(&d.rows[cands[i].row], &cands[i]))
+		out = append(out, newChoice(&d.rows[cands[i].row], &cands[i]))
 	}
 	return out
 }
 
-func meanShort(cands []candidate) float64 {
+func meanShortWork(cands []candidate) float64 {
 	sum := 0.0
 	for i := range cands {
-		sum += cands[i].short
+		sum += cands[i].shortWork
 	}
 	return sum / float64(len(cands))
 }
 
-func choiceOf(row *backend.Row, c *candidate) Choice {
+func newChoice(row *backend.Row, c *candidate) Choice {
 	return Choice{
 		Name:          row.Name,
 		Zone:          row.Zone,
@@ -243,8 +248,8 @@
 		EngineAddress: row.EngineAddress,
 		Incarnation:   row.Incarnation,
 		ExpectedTTFT:  seconds(c.cost),
-		QueueWait:     seconds(c.wait),
-		CachedTokens:  int64(c.cached),
+		QueueWait:     seconds(c.queueWait),
+		CachedTokens:  int64(c.cachedTokens),
 		FreeTokens:    row.FreeTokens(),
 	}
 }
--- a/routing/costmodel.go
+++ b/routing/costmodel.go
@@ -10,7 +10,8 @@
 	"github.com/briarturn/briarturn/request"
 )
 
-// Rates of an engine that neither describes itself nor was measured, tokens/s.
+// Rates assumed for an engine that reports no rates and whose pool has no measurements,
+// and the bounds of all rates, in tokens/s.
 const (
 	defaultPrefillRate = 8_000
 	defaultDecodeRate  = 1_000
@@ -19,37 +20,37 @@
 )
 
 const (
-	// rateWeight is the weight of one observation in the running mean: some
-	// twenty requests renew it.
-	rateWeight = 0.05
-	// rateStep bounds how far one observation may stand from the mean, as a
-	// factor: an engine that lies can pull the mean only by degrees.
-	rateStep = 4.0
-	// describedSpan bounds how far the mean may stand from what descriptors
-	// say, as a factor.
-	describedSpan = 8.0
-	// minObservedTokens is the least work whose time says more of the rate
-	// than of fixed costs.
+	// ewmaWeight is the weight of one observation in the exponentially weighted
+	// moving average; its time constant is about twenty requests.
+	ewmaWeight = 0.05
+	// maxObservationFactor limits the factor by which one observation may differ from
+	// the mean, so that an engine that reports false times shifts it only gradually.
+	maxObservationFactor = 4.0
+	// maxDescribedFactor limits the factor by which the mean may differ from the rate
+	// in the descriptors.
+	maxDescribedFactor = 8.0
+	// minObservedTokens is the minimum number of uncached prompt tokens from which a
+	// prefill rate is computed. Below it, fixed costs dominate the prefill time.
 	minObservedTokens = 256
 )
 
-// Observation is what one finished request says of an engine's speed.
+// Observation holds the timings of one finished request.
 type Observation struct {
 	PromptTokens int64
 	CachedTokens int64
-	Prefill      time.Duration // as the engine reports it
+	Prefill      time.Duration // as reported by the engine
 	OutputTokens int64
 	Decode       time.Duration // from the first token to the last
 	Running      int32         // requests that shared the engine's batch
 	Elapsed      time.Duration // from dispatch to the end, by the entry's clock
-	// PrefillRate and DecodeRate are the descriptor's, zero if unknown.
+	// PrefillRate and DecodeRate come from the server's descriptor; zero if unknown.
 	PrefillRate int64
 	DecodeRate  int64
 }
 
-// CostModel learns the prefill and decode rates of each pool and estimates
-// times from them. It is safe for concurrent use; its mutex guards rates and is
-// taken last.
+// CostModel learns the prefill and decode rates of each pool and estimates request
+// times from them. It is safe for concurrent use. Its mutex guards rates and is a leaf
+// lock.
 type CostModel struct {
 	rejected metrics.Counter
 
@@ -57,7 +58,7 @@
 	rates map[string]Rates
 }
 
-// Rates are a pool's speeds in tokens/s; zero means not measured.
+// Rates are the measured speeds of a pool in tokens/s; zero means not measured.
 type Rates struct {
 	Prefill float64
 	Decode  float64 // of the whole batch
@@ -66,8 +67,8 @@
 	MeanPrefillSeconds float64
 }
 
-// NewCostModel returns a model that has learned nothing. A nil registry counts
-// nowhere.
+// NewCostModel returns a model without measurements. If r is nil, its counter is not
+// exported.
 func NewCostModel(r metrics.Registry) *CostModel {
 	if r == nil {
 		r = metrics.NewRegistry()
@@ -78,8 +79,8 @@
 	}
 }
 
-// Record learns from a finished request. An observation that contradicts the
-// entry's own clock is counted and dropped.
+// Record updates the rates of a pool from a finished request. It drops and counts
+// observations whose engine times exceed the time that the entry measured.
 func (m *CostModel) Record(pool string, o Observation) {
 	if o.Elapsed > 0 && o.Prefill+o.Decode > o.Elapsed {
 		m.rejected.Inc(1)
@@ -88,57 +89,57 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r := m.rates[pool]
-	if fresh := o.PromptTokens - o.CachedTokens; fresh >= minObservedTokens && o.Prefill > 0 {
-		r.Prefill = learn(r.Prefill, perSecond(fresh, o.Prefill), o.PrefillRate, defaultPrefillRate)
+	if uncached := o.PromptTokens - o.CachedTokens; uncached >= minObservedTokens && o.Prefill > 0 {
+		r.Prefill = updateRate(r.Prefill, perSecond(uncached, o.Prefill), o.PrefillRate, defaultPrefillRate)
 	}
 	if o.PromptTokens < request.LargeTokens && o.Prefill > 0 {
-		r.MeanPrefillSeconds = learnMean(r.MeanPrefillSeconds, o.Prefill.Seconds())
+		r.MeanPrefillSeconds = updateMean(r.MeanPrefillSeconds, o.Prefill.Seconds())
 	}
 	if o.OutputTokens > 1 && o.Decode > 0 {
 		batch := perSecond(o.OutputTokens-1, o.Decode) * float64(max(1, o.Running))
-		r.Decode = learn(r.Decode, batch, o.DecodeRate, defaultDecodeRate)
+		r.Decode = updateRate(r.Decode, batch, o.DecodeRate, defaultDecodeRate)
 	}
 	m.rates[pool] = r
 }
 
-// Rates returns what was learned of a pool.
+// Rates returns the measured rates of a pool.
 func (m *CostModel) Rates(pool string) Rates {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.rates[pool]
 }
 
-// learn moves a mean towards an observation, within the bounds.
-func learn(mean, seen float64, described int64, byDefault float64) float64 {
+// updateRate moves a mean towards an observation, within the bounds above.
+func updateRate(mean, observed float64, described int64, fallback float64) float64 {
 	if mean == 0 {
-		mean = byDefault
+		mean = fallback
 		if described > 0 {
 			mean = float64(described)
 		}
 	}
-	seen = min(max(seen, mean/rateStep), mean*rateStep)
-	mean += rateWeight * (seen - mean)
+	observed = min(max(observed, mean/maxObservationFactor), mean*maxObservationFactor)
+	mean += ewmaWeight * (observed - mean)
 	if described > 0 {
-		mean = min(max(mean, float64(described)/describedSpan), float64(described)*describedSpan)
+		mean = min(max(mean, float64(described)/maxDescribedFactor), float64(described)*maxDescribedFactor)
 	}
 	return min(max(mean, minRate), maxRate)
 }
 
-// learnMean moves a running mean towards an observation.
-func learnMean(mean, seen float64) float64 {
+// updateMean moves a moving average towards an observation.
+func updateMean(mean, observed float64) float64 {
 	if mean == 0 {
-		return seen
+		return observed
 	}
-	return mean + rateWeight*(seen-mean)
+	return mean + ewmaWeight*(observed-mean)
 }
 
-// memory returns how fast a load sample loses its worth, in seconds: queues
-// fill and drain in about the time of one prefill.
-func (r Rates) memory() float64 {
+// sampleDecay returns the time constant, in seconds, by which the weight of a load
+// sample decays: queues fill and drain in about the time of one prefill.
+func (r Rates) sampleDecay() float64 {
 	if r.MeanPrefillSeconds == 0 {
-		return defaultMemory
+		return defaultSampleDecay
 	}
-	return min(max(memoryPerPrefill*r.MeanPrefillSeconds, minMemory), maxMemory)
+	return min(max(sampleDecayPerPrefill*r.MeanPrefillSeconds, minSampleDecay), maxSampleDecay)
 }
 
 func perSecond(tokens int64, d time.Duration) float64 {
@@ -151,47 +152,48 @@
 	return seconds(float64(max(0, promptTokens-cachedTokens)) / rate)
 }
 
-// ServiceTime estimates the whole time on an engine whose batch holds running other
-// requests.
+// ServiceTime estimates the total time of a request on an engine whose batch holds the
+// given number of other requests.
 func (m *CostModel) ServiceTime(pool string, promptTokens, cachedTokens, maxTokens int64, running int32) time.Duration {
 	decode := float64(maxTokens) * float64(running+1) / m.Rates(pool).decode(0)
 	return m.TTFT(pool, promptTokens, cachedTokens) + seconds(decode)
 }
 
-// prefill returns the learned rate, else the described, else the default.
+// prefill returns the prefill rate of a server: its described rate, bounded by the measured
+// rate of its pool. Without a described rate it is the measured one, without both the default.
 func (r Rates) prefill(described int64) float64 {
-	return rateOf(r.Prefill, described, defaultPrefillRate)
+	return effectiveRate(r.Prefill, described, defaultPrefillRate)
 }
 
 func (r Rates) decode(described int64) float64 {
-	return rateOf(r.Decode, described, defaultDecodeRate)
+	return effectiveRate(r.Decode, described, defaultDecodeRate)
 }
 
-func rateOf(learned float64, described int64, byDefault float64) float64 {
+func effectiveRate(learned float64, described int64, fallback float64) float64 {
 	switch {
 	case described > 0:
-		return scaleDescribed(learned, float64(described))
+		return boundDescribed(learned, float64(described))
 	case learned > 0:
 		return learned
 	}
-	return byDefault
+	return fallback
 }
 
-// scaleDescribed uses a server's own rate, which may differ from its pool's
-// mean, but not by more than a factor of two either way once that is known:
-// a server that boasts would otherwise draw all the work.
-func scaleDescribed(learned, described float64) float64 {
-	const span = 2
+// boundDescribed returns a server's described rate, which may differ from the mean of its
+// pool, but by at most a factor of two once that mean is measured. Without the limit, a
+// server that reports too high a rate would attract all requests.
+func boundDescribed(learned, described float64) float64 {
+	const maxFactor = 2
 	described = min(max(described, minRate), maxRate)
 	if learned == 0 {
 		return described
 	}
-	return min(max(described, learned/span), learned*span)
+	return min(max(described, learned/maxFactor), learned*maxFactor)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// rowRates are the speeds assumed for one server.
-func rowRates(r Rates, row *backend.Row) (prefill, decode float64) {
+// serverRates returns the prefill and decode rates assumed for one server.
+func serverRates(r Rates, row *backend.Row) (prefill, decode float64) {
 	return r.prefill(row.PrefillRate), r.decode(row.DecodeRate)
 }
--- a/routing/costmodel_test.go
+++ b/routing/costmodel_test.go
@@ -26,40 +26,38 @@
 	}
 }
 
-func TestUnknownPoolHasDefaults(t *testing.T) {
+func TestUnknownPoolUsesDefaultRates(t *testing.T) {
 	m := NewCostModel(nil)
 	if got := m.TTFT("x", defaultPrefillRate, 0); got != time.Second {
 		t.Errorf("TTFT %v, want 1s", got)
 	}
 }
 
-// Symptom: all requests go to one engine, or a pool's waits are underestimated
-// and requests are admitted that can't end in time.
-// Sequence: an engine reports next to no time for its prefills, and describes
-// itself as a thousand times as fast as it is.
-// Cause: reports that are believed without bounds.
-func TestLyingEngineIsBounded(t *testing.T) {
+// An engine reports almost no time for its prefills and describes itself as a thousand
+// times faster than it is. Without bounds, it would attract all requests, or the pool's
+// waits would be underestimated and requests admitted that can't finish in time.
+func TestFalseRateReportsAreBounded(t *testing.T) {
 	m := NewCostModel(nil)
 	honest := Observation{PromptTokens: 10_000, Prefill: time.Second, PrefillRate: 10_000}
-	lie := Observation{PromptTokens: 10_000, Prefill: time.Microsecond, PrefillRate: 10_000_000}
+	falseReport := Observation{PromptTokens: 10_000, Prefill: time.Microsecond, PrefillRate: 10_000_000}
 	rnd := rand.New(rand.NewPCG(4, 4))
 	for range 500 {
 		m.Record("p", honest)
 		if rnd.IntN(20) == 0 {
-			lie.PrefillRate = honest.PrefillRate
-			m.Record("p", lie)
+			falseReport.PrefillRate = honest.PrefillRate
+			m.Record("p", falseReport)
 		}
 	}
 	if r := m.Rates("p").Prefill; r < 9_000 || r > 15_000 {
-		t.Errorf("rate %.0f with one liar in twenty, want about 10000", r)
+		t.Errorf("rate %.0f with one false report in twenty, want about 10000", r)
 	}
 	if got, honest := m.Rates("p").prefill(10_000_000), m.Rates("p").Prefill; got > 2*honest {
-		t.Errorf("a boast of 10M tokens/s counts as %.0f, want at most twice the pool's", got)
+		t.Errorf("a described rate of 10M tokens/s counts as %.0f, want at most twice the pool's", got)
 	}
-	lie.Elapsed, lie.Prefill = time.Second, 2*time.Second
+	falseReport.Elapsed, falseReport.Prefill = time.Second, 2*time.Second
 	before := m.Rates("p")
-	m.Record("p", lie)
+	m.Record("p", falseReport)
 	if m.Rates("p") != before || m.rejected.Count() != 1 {
-		t.Error("learned a prefill that took longer than the whole request")
+		t.Error("recorded a prefill that took longer than the whole request")
 	}
 }
--- a/routing/example_test.go
+++ b/routing/example_test.go
@@ -10,7 +10,7 @@
 	"github.com/briarturn/briarturn/routing"
 )
 
-// A decision: candidates from the table, ranked by the policy.
+// This example takes candidates from the table and ranks them by the policy.
 func Example() {
 	now := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 	rnd := rand.New(rand.NewPCG(1, 1))
--- a/routing/filter.go
+++ b/routing/filter.go
@@ -6,44 +6,44 @@
 	"github.com/briarturn/briarturn/backend"
 )
 
-// tier ranks servers by what stands against them. Servers of a later tier are
-// chosen only where no earlier one is left.
+// tier groups servers by how well they suit a request. Servers of a later tier are
+// chosen only if no candidate is in an earlier one.
 type tier uint8
 
 const (
 	tierFit     tier = iota // can take the request now
-	tierWait                // would have to wait for memory, or isn't idle
-	tierSuspect             // silent for too long
-	tierUnfit               // can't serve the request at all
+	tierWait                // lacks free memory, has another role, or isn't idle though the query requires it
+	tierSuspect             // hasn't reported for too long
+	tierUnfit               // can't serve the request
 )
 
-// filter returns the tier of a server for a query.
-func filter(q *Query, row *backend.Row) tier {
+// classify returns the tier of a server for a query.
+func classify(q *Query, row *backend.Row) tier {
 	if !usable(q, row) {
 		return tierUnfit
 	}
 	if row.State == backend.StateSuspect {
 		return tierSuspect
 	}
-	if !fitsNow(q, row) || !roleFits(row) || (q.RequireIdle && !idle(row)) {
+	if !fitsNow(q, row) || !acceptsWholeRequests(row) || (q.RequireIdle && !isIdle(row)) {
 		return tierWait
 	}
 	return tierFit
 }
 
-// usable says whether the server may get the request at all.
+// usable reports whether the server may be sent the request at all.
 func usable(q *Query, row *backend.Row) bool {
 	if row.State == backend.StateLeaving || row.State == backend.StateDead || row.Load.Draining {
 		return false
 	}
-	if !serves(q, row) || !everFits(q, row) {
+	if !servesModel(q, row) || !fitsWhenEmpty(q, row) {
 		return false
 	}
 	return !slices.Contains(q.Exclude, row.Name)
 }
 
-// serves says whether the model and the adapter are present.
-func serves(q *Query, row *backend.Row) bool {
+// servesModel reports whether the server has the model and the adapter.
+func servesModel(q *Query, row *backend.Row) bool {
 	if row.Service {
 		return true
 	}
@@ -53,30 +53,31 @@
 	return q.Adapter == "" || slices.Contains(row.Adapters, q.Adapter)
 }
 
-// everFits says whether the request fits into the server when it is empty. A
-// server that doesn't say its capacity is left to refuse by itself.
-func everFits(q *Query, row *backend.Row) bool {
+// fitsWhenEmpty reports whether the request fits into the server when it is empty. A
+// server with unknown capacity counts as large enough and refuses the request itself if
+// it is not.
+func fitsWhenEmpty(q *Query, row *backend.Row) bool {
 	capacity := row.CapacityTokens()
-	return row.Service || capacity == 0 || q.needTokens() <= capacity
+	return row.Service || capacity == 0 || q.requiredTokens() <= capacity
 }
 
 func fitsNow(q *Query, row *backend.Row) bool {
 	if row.Service || row.CapacityTokens() == 0 {
 		return true
 	}
-	return q.needTokens() <= row.FreeTokens()
+	return q.requiredTokens() <= row.FreeTokens()
 }
 
-// roleFits says whether the server is meant for whole requests.
-func roleFits(row *backend.Row) bool {
+// acceptsWholeRequests reports whether the server both prefills and decodes.
+func acceptsWholeRequests(row *backend.Row) bool {
 	return row.Role == "" || row.Role == backend.RoleMixed
 }
 
-func idle(row *backend.Row) bool {
+func isIdle(row *backend.Row) bool {
 	return row.Load.Running == 0 && row.Load.Waiting == 0 && row.OwnRunning == 0
 }
 
-// needTokens is the KV memory that the request needs at its end.
+// shortShare returns ShortShare or its default.
 func (q *Query) shortShare() float64 {
 	if q.ShortShare == 0 {
 		return defaultShortShare
@@ -84,7 +85,8 @@
 	return q.ShortShare
 }
 
-func (q *Query) needTokens() int64 { return q.PromptTokens + q.MaxTokens }
+// requiredTokens is the KV memory, in tokens, that the request needs when it ends.
+func (q *Query) requiredTokens() int64 { return q.PromptTokens + q.MaxTokens }
 
-// long says whether the request's prefill yields to shorter ones.
-func (q *Query) long() bool { return q.Class >= longClass }
+// isLong reports whether shorter prompts take precedence over the request's prefill.
+func (q *Query) isLong() bool { return q.Class >= minLongClass }
--- a/routing/new.go
+++ b/routing/new.go
@@ -4,23 +4,23 @@
 	"github.com/juju/errors"
 )
 
-// Names of the policies, as settings give them.
+// Names of the policies, as in the settings.
 const (
 	PolicyCost       = "cost"        // the default: lowest expected time to first token
 	PolicyRoundRobin = "round-robin" // baseline
 	PolicyLeastLoad  = "least-load"  // baseline
 )
 
-// ErrUnknownPolicy is returned by New. Test with errors.Is.
+// ErrUnknownPolicy is returned by New for a name that is not a policy. Test with errors.Is.
 const ErrUnknownPolicy = errors.ConstError("unknown routing policy")
 
-// Options configures New. The baselines use none of it.
+// Options configures New. The baseline policies ignore it.
 type Options struct {
-	Costs    *CostModel   // nil: a model that knows only descriptors
+	Costs    *CostModel   // nil: a model without measurements
 	Prefixes *PrefixIndex // nil: no cache affinity
 }
 
-// New returns the policy of a name; an empty name means PolicyCost.
+// New returns the policy with the given name; an empty name means PolicyCost.
 func New(name string, opts Options) (Policy, error) {
 	switch name {
 	case PolicyCost, "":
--- a/routing/picker.go
+++ b/routing/picker.go
@@ -7,36 +7,36 @@
 	"github.com/briarturn/briarturn/request"
 )
 
-// choices is how many random candidates are compared. Entries that compared
-// all of them would all choose the same one between two reports.
-// BenchmarkStaleness chose it.
-const choices = 8
+// comparedCandidates is how many random candidates are compared. Entries that compared
+// all of them would all choose the same server between two load reports. See
+// BenchmarkStaleness.
+const comparedCandidates = 8
 
-// choicesFor returns how many of n candidates to compare. Prompts of the large
-// classes are so few that entries hardly collide on them, and a bad choice
-// costs them most, so that they compare all.
-func choicesFor(class request.Class, n int) int {
+// comparisonCount returns how many of n candidates to compare. Prompts of the large
+// classes compare all: they are so few that entries rarely choose the same server at the
+// same time, and a bad choice costs them most.
+func comparisonCount(class request.Class, n int) int {
 	if class >= request.ClassLarge {
 		return n
 	}
-	return min(choices, n)
+	return min(comparedCandidates, n)
 }
 
-// rank orders candidates for use: the best of d drawn at random from the best
-// tier first, then all others by tier and cost.
-func rank(cands []candidate, d int, rnd *rand.Rand) {
-	slices.SortFunc(cands, byTierAndCost)
-	n := bestTier(cands)
-	best := leastOfDraw(n, d, rnd)
+// rankCandidates sorts candidates by tier and cost, then moves to the front the best of d
+// that are drawn at random from the first tier.
+func rankCandidates(cands []candidate, d int, rnd *rand.Rand) {
+	slices.SortFunc(cands, compareByTierAndCost)
+	n := bestTierSize(cands)
+	best := bestOfDraw(n, d, rnd)
 	chosen := cands[best]
 	copy(cands[1:best+1], cands[:best])
 	cands[0] = chosen
 }
 
-// leastOfDraw draws d distinct positions of n and returns the least: the best
-// of d candidates, as they stand sorted. Position k is drawn with the chance
-// d/(n-k) if none before it was.
-func leastOfDraw(n, d int, rnd *rand.Rand) int {
+// bestOfDraw draws d distinct positions out of n and returns the lowest, which is the best
+// of d sorted candidates. If no position before k was drawn, k is drawn with probability
+// d/(n-k).
+func bestOfDraw(n, d int, rnd *rand.Rand) int {
 	for k := range n - 1 {
 		if rnd.IntN(n-k) < d {
 			return k
@@ -45,7 +45,7 @@
 	return n - 1
 }
 
-func byTierAndCost(a, b candidate) int {
+func compareByTierAndCost(a, b candidate) int {
 	if a.tier != b.tier {
 		return int(a.tier) - int(b.tier)
 	}
@@ -58,7 +58,8 @@
 	return 0
 }
 
-func bestTier(cands []candidate) int {
+// bestTierSize returns how many of the sorted candidates are in the first one's tier.
+func bestTierSize(cands []candidate) int {
 	n := 0
 	for n < len(cands) && cands[n].tier == cands[0].tier {
 		n++
--- a/routing/prefix.go
+++ b/routing/prefix.go
@@ -5,61 +5,61 @@
 	"sync"
 )
 
-// Defaults of PrefixLimits: 54 bytes a hint as measured (docs/CAPACITY.md), so
-// 3.5 MB an entry at most.
+// Defaults of PrefixLimits. A hint takes 54 bytes (docs/CAPACITY.md), so the index of an
+// entry takes at most 3.5 MB.
 const (
 	DefaultHintsPerServer = 1_024
 	DefaultHints          = 65_536
 )
 
 const (
-	holdersPerBlock = 4 // servers remembered for one block
-	maxHolders      = 8 // servers returned for one prompt
+	holdersPerBlock = 4 // servers recorded per block
+	maxHolders      = 8 // servers returned per prompt
 )
 
-// PrefixLimits bounds a PrefixIndex. Zero fields take the defaults.
+// PrefixLimits bounds a PrefixIndex. Zero fields mean the defaults.
 type PrefixLimits struct {
-	PerServer int // hints of one server
-	Total     int // hints of all servers
+	PerServer int // hints per server
+	Total     int // hints of all servers together
 }
 
-// Holder is a server that is thought to hold the first Blocks of a prompt.
+// Holder is a server that is expected to have the first Blocks blocks of a prompt cached.
 type Holder struct {
 	Key    uint64
 	Blocks int
 }
 
-// CacheEvent is one cache event of an engine. Events come late and with gaps.
+// CacheEvent is one cache event of an engine. Events may arrive late and with gaps.
 type CacheEvent struct {
 	Sequence uint64
-	Evict    bool // else the block was stored
+	Evict    bool // false: the block was stored
 	Hash     uint64
 }
 
-// PrefixIndex holds approximate hints on which servers have which blocks in
-// their prefix caches. A hint may be wrong either way; it only moves a choice
-// and nothing may rely on it. The index is safe for concurrent use; its mutex
-// guards all of it and is taken last.
+// PrefixIndex holds hints on which servers have which blocks in their prefix caches. A
+// hint may be missing or outdated: it may influence a choice, but nothing may depend on
+// it. The index is safe for concurrent use. Its mutex guards all fields below it and is a
+// leaf lock.
 type PrefixIndex struct {
 	limits PrefixLimits
 
-	mu      sync.Mutex
-	blocks  map[uint64]blockHolders
-	servers map[uint64]*serverHints
-	slots   []uint64 // keys of servers; the first is not used
-	free    []slot   // of slots
-	total   int
+	mu        sync.Mutex
+	blocks    map[uint64]blockHolders
+	servers   map[uint64]*serverHints
+	slots     []uint64 // server keys by slot; slot 0 is not used
+	freeSlots []slot   // slots available for reuse
+	hintCount int
 }
 
-// slot stands for a server in a block's holders: its key would make the index
-// three times as large.
+// slot identifies a server among a block's holders. Storing the server's key instead would
+// triple the size of the index.
 type slot uint16
 
-type blockHolders [holdersPerBlock]slot // zero is empty
+type blockHolders [holdersPerBlock]slot // zero: no holder
 
-// serverHints are one server's hints, oldest first.
+// serverHints holds the hints of one server, oldest first.
 type serverHints struct {
-	slot     slot // zero before its first hint
+	slot     slot // zero before the first hint
 	order    []uint64
 	sequence uint64 // of the last event
 }
@@ -80,7 +80,7 @@
 	}
 }
 
-// RecordSent remembers that a server was sent a prompt and will soon have it cached.
+// RecordSent records that a server was sent a prompt and will soon have it cached.
 func (x *PrefixIndex) RecordSent(server uint64, prefix []uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -88,73 +88,73 @@
 		prefix = prefix[:x.limits.PerServer]
 	}
 	for _, hash := range prefix {
-		x.add(server, hash)
+		x.addHint(server, hash)
 	}
 }
 
-// Reconcile corrects the hints by what the engine found in its cache: of the
-// blocks of a prompt, cached were there.
+// Reconcile removes the hints that the engine's cache contradicts: only the first cached
+// blocks of the prompt were there.
 func (x *PrefixIndex) Reconcile(server uint64, prefix []uint64, cached int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, hash := range prefix[min(max(0, cached), len(prefix)):] {
-		x.drop(server, hash)
+		x.removeHint(server, hash)
 	}
 }
 
-// ApplyEvents takes in cache events of a server. Late events are dropped. After a gap
-// all hints of the server go: an eviction may have been among the lost events,
-// and hints for blocks that are gone draw requests to the wrong server.
+// ApplyEvents applies cache events of a server. Events with an old sequence number are
+// ignored. After a gap all hints of the server are dropped, because an eviction may have
+// been lost, and hints for evicted blocks attract requests to the wrong server.
 func (x *PrefixIndex) ApplyEvents(server uint64, events []CacheEvent) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, ev := range events {
-		s := x.server(server)
+		s := x.hintsOf(server)
 		if ev.Sequence <= s.sequence {
 			continue
 		}
 		if s.sequence != 0 && ev.Sequence != s.sequence+1 {
-			x.forget(server)
-			s = x.server(server)
+			x.removeServerLocked(server)
+			s = x.hintsOf(server)
 		}
 		s.sequence = ev.Sequence
 		if ev.Evict {
-			x.drop(server, ev.Hash)
+			x.removeHint(server, ev.Hash)
 		} else {
-			x.add(server, ev.Hash)
+			x.addHint(server, ev.Hash)
 		}
 	}
 }
 
-// RemoveServer drops all hints of a server, as after its restart.
+// RemoveServer drops all hints of a server, for example after it restarted.
 func (x *PrefixIndex) RemoveServer(server uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.forget(server)
+	x.removeServerLocked(server)
 }
 
 // Len returns the number of hints.
 func (x *PrefixIndex) Len() int {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.total
+	return x.hintCount
 }
 
-// Holders appends at most cap(out)-len(out) servers that are thought to hold a
-// beginning of the prompt, the longest first. It looks at few of the blocks: it
-// searches for the last known one and then at halves of its position.
+// Holders appends servers that are expected to have a beginning of the prompt cached,
+// longest match first, up to the capacity of out. To inspect few blocks, it searches for
+// the last known block and then halves the position.
 func (x *PrefixIndex) Holders(prefix []uint64, out []Holder) []Holder {
 	if len(prefix) == 0 {
 		return out
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for depth := x.lastKnown(prefix); depth > 0; depth /= 2 {
+	for depth := x.knownDepth(prefix); depth > 0; depth /= 2 {
 		for _, holder := range x.blocks[prefix[depth-1]] {
 			if len(out) == cap(out) {
 				return out
 			}
-			if key := x.slots[holder]; holder != 0 && !hasHolder(out, key) {
+			if key := x.slots[holder]; holder != 0 && !containsHolder(out, key) {
 				out = append(out, Holder{key, depth})
 			}
 		}
@@ -162,9 +162,9 @@
 	return out
 }
 
-// lastKnown returns how many of the first blocks are known, by bisection. It
-// supposes that a block is known only if those before it are.
-func (x *PrefixIndex) lastKnown(prefix []uint64) int {
+// knownDepth returns how many of the first blocks are known. It bisects, which assumes
+// that a block is known only if all blocks before it are.
+func (x *PrefixIndex) knownDepth(prefix []uint64) int {
 	low, high := 0, len(prefix)
 	for low < high {
 		mid := (low + high + 1) / 2
@@ -177,7 +177,7 @@
 	return low
 }
 
-func hasHolder(holders []Holder, key uint64) bool {
+func containsHolder(holders []Holder, key uint64) bool {
 	for _, h := range holders {
 		if h.Key == key {
 			return true
@@ -186,7 +186,7 @@
 	return false
 }
 
-func (x *PrefixIndex) server(key uint64) *serverHints {
+func (x *PrefixIndex) hintsOf(key uint64) *serverHints {
 	s := x.servers[key]
 	if s == nil {
 		s = &serverHints{}
@@ -195,10 +195,10 @@
 	return s
 }
 
-// add remembers one hint, at the cost of the oldest where a bound is met. The
-// caller holds mu.
-func (x *PrefixIndex) add(server, hash uint64) {
-	s := x.server(server)
+// addHint records one hint and drops an old one if a limit is reached. The caller holds
+// mu.
+func (x *PrefixIndex) addHint(server, hash uint64) {
+	s := x.hintsOf(server)
 	holders := x.blocks[hash]
 	free := -1
 	for i, holder := range holders {
@@ -208,30 +208,30 @@
 			return
 		}
 	}
-	if free < 0 || !x.takeSlot(server, s) {
-		return // enough servers hold it, or there are too many servers
+	if free < 0 || !x.assignSlot(server, s) {
+		return // enough holders for the block, or no slot left
 	}
 	if len(s.order) >= x.limits.PerServer {
-		x.drop(server, s.order[0])
-	} else if x.total >= x.limits.Total {
-		x.dropAny()
+		x.removeHint(server, s.order[0])
+	} else if x.hintCount >= x.limits.Total {
+		x.evictAny()
 	}
 	holders = x.blocks[hash]
 	holders[free] = s.slot
 	x.blocks[hash] = holders
 	s.order = append(s.order, hash)
-	x.total++
+	x.hintCount++
 }
 
-// takeSlot gives a server a slot if it has none. It returns false when all are
-// taken.
-func (x *PrefixIndex) takeSlot(server uint64, s *serverHints) bool {
-	switch n := len(x.free); {
+// assignSlot assigns a slot to a server that has none. It returns false if all slots are in
+// use.
+func (x *PrefixIndex) assignSlot(server uint64, s *serverHints) bool {
+	switch n := len(x.freeSlots); {
 	case s.slot != 0:
 		return true
 	case n > 0:
-		s.slot = x.free[n-1]
-		x.free = x.free[:n-1]
+		s.slot = x.freeSlots[n-1]
+		x.freeSlots = x.freeSlots[:n-1]
 		x.slots[s.slot] = server
 	case len(x.slots) <= math.MaxUint16:
 		s.slot = slot(len(x.slots))
@@ -240,20 +240,20 @@
 	return s.slot != 0
 }
 
-// dropAny drops the oldest hint of some server.
-func (x *PrefixIndex) dropAny() {
+// evictAny drops the oldest hint of an arbitrary server.
+func (x *PrefixIndex) evictAny() {
 	for key, s := range x.servers {
 		if len(s.order) > 0 {
-			x.drop(key, s.order[0])
+			x.removeHint(key, s.order[0])
 			return
 		}
 	}
 }
 
-// drop forgets one hint. The caller holds mu.
-func (x *PrefixIndex) drop(server, hash uint64) {
+// removeHint drops one hint. The caller holds mu.
+func (x *PrefixIndex) removeHint(server, hash uint64) {
 	s := x.servers[server]
-	if s == nil || !x.unhold(s.slot, hash) {
+	if s == nil || !x.removeHolder(s.slot, hash) {
 		return
 	}
 	for i, h := range s.order {
@@ -262,11 +262,11 @@
 			break
 		}
 	}
-	x.total--
+	x.hintCount--
 }
 
-// unhold takes a server from the holders of a block.
-func (x *PrefixIndex) unhold(server slot, hash uint64) bool {
+// removeHolder removes a server from the holders of a block.
+func (x *PrefixIndex) removeHolder(server slot, hash uint64) bool {
 	if server == 0 {
 		return false
 	}
@@ -285,17 +285,17 @@
 	return false
 }
 
-func (x *PrefixIndex) forget(server uint64) {
+func (x *PrefixIndex) removeServerLocked(server uint64) {
 	s := x.servers[server]
 	if s == nil {
 		return
 	}
 	for _, hash := range s.order {
-		x.unhold(s.slot, hash)
+		x.removeHolder(s.slot, hash)
 	}
 	if s.slot != 0 {
-		x.free = append(x.free, s.slot)
+		x.freeSlots = append(x.freeSlots, s.slot)
 	}
-	x.total -= len(s.order)
+	x.hintCount -= len(s.order)
 	delete(x.servers, server)
 }
--- a/routing/prefix_test.go
+++ b/routing/prefix_test.go
@@ -15,7 +15,7 @@
 	holder := rows[123]
 	x := NewPrefixIndex(PrefixLimits{})
 	p, _ := New(PolicyCost, Options{Prefixes: x})
-	q := query(50_000)
+	q := newQuery(50_000)
 	q.Prefix = []uint64{1, 2, 3, 4, 5}
 	x.RecordSent(holder.Key, q.Prefix[:4])
 	rows[123].Load = backend.Load{}
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestHoldersLongestFirst(t *testing.T) {
+func TestHoldersSortedByMatchLength(t *testing.T) {
 	x := NewPrefixIndex(PrefixLimits{})
 	prefix := []uint64{1, 2, 3, 4, 5, 6, 7, 8}
 	x.RecordSent(100, prefix[:6])
@@ -41,24 +41,23 @@
 	}
 }
 
-func TestCandidatesHaveTheHolders(t *testing.T) {
-	table := manyServers(500)
+func TestCandidatesIncludePrefixHolders(t *testing.T) {
+	table := tableOf(500)
 	holder := table.Rows("p", nil)[250]
 	x := NewPrefixIndex(PrefixLimits{})
-	q := query(50_000)
+	q := newQuery(50_000)
 	q.Prefix = []uint64{1, 2, 3}
 	x.RecordSent(holder.Key, q.Prefix)
 	for range 50 {
 		rows := Candidates(table, x, q, newRand(), nil)
 		if !slices.ContainsFunc(rows, func(r backend.Row) bool { return r.Key == holder.Key }) {
-			t.Fatal("the holder of the prefix is no candidate")
+			t.Fatal("the holder of the prefix is not among the candidates")
 		}
 	}
 }
 
-// Symptom: requests go to a server for a prefix that it evicted long ago.
-// Sequence: an event of eviction is lost; events go on after the gap.
-// Cause: an index that goes on as if it had seen all of them.
+// An eviction event is lost and later events arrive. An index that ignores the gap keeps
+// hints for evicted blocks and sends requests to a server that no longer has them.
 func TestGapInEventsDropsHints(t *testing.T) {
 	x := NewPrefixIndex(PrefixLimits{})
 	x.ApplyEvents(1, []CacheEvent{{Sequence: 1, Hash: 10}, {Sequence: 2, Hash: 11}})
@@ -72,7 +71,8 @@
 	}
 }
 
-// The index keeps its bounds and its two sides agree, whatever comes.
+// The index stays within its limits, and its maps by server and by block agree, after any
+// sequence of operations.
 func TestPrefixIndexIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := NewPrefixIndex(PrefixLimits{PerServer: 4, Total: 10})
@@ -115,7 +115,7 @@
 			}
 		}
 	}
-	if byServer != x.total || byBlock != x.total || x.total > 10 {
-		t.Fatalf("hints: %d by server, %d by block, %d counted", byServer, byBlock, x.total)
+	if byServer != x.hintCount || byBlock != x.hintCount || x.hintCount > 10 {
+		t.Fatalf("hints: %d by server, %d by block, %d counted", byServer, byBlock, x.hintCount)
 	}
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -15,8 +15,8 @@
 
 var now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// server returns an idle row that is fresh and large.
-func server(name string) backend.Row {
+// idleRow returns an idle server with a current load sample and much memory.
+func idleRow(name string) backend.Row {
 	return backend.Row{
 		Descriptor: backend.Descriptor{
 			Name: name, Zone: "z1", Region: "r", Pool: "p", Models: []string{"m"},
@@ -27,7 +27,7 @@
 	}
 }
 
-func query(tokens int64) *Query {
+func newQuery(tokens int64) *Query {
 	return &Query{
 		Pool: "p", Model: "m", Zone: "z1", Region: "r", Now: now,
 		PromptTokens: tokens, Class: request.ClassOf(tokens),
@@ -36,8 +36,8 @@
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(4, 4)) }
 
-// chosen returns the names that a policy ranks.
-func chosen(p Policy, q *Query, rows []backend.Row, limit int) []string {
+// choiceNames returns the names of the servers that a policy ranks, best first.
+func choiceNames(p Policy, q *Query, rows []backend.Row, limit int) []string {
 	var names []string
 	for _, c := range p.Choose(q, rows, newRand(), limit, nil) {
 		names = append(names, c.Name)
@@ -86,16 +86,16 @@
 		{"alone, busy", func(q *Query, r *backend.Row) { q.RequireIdle, r.OwnRunning = true, 1 }, tierWait},
 		{"alone, idle", func(q *Query, _ *backend.Row) { q.RequireIdle = true }, tierFit},
 	} {
-		q, row := query(1_000), server("a")
+		q, row := newQuery(1_000), idleRow("a")
 		c.change(q, &row)
-		if got := filter(q, &row); got != c.want {
+		if got := classify(q, &row); got != c.want {
 			t.Errorf("%s: tier %d, want %d", c.name, got, c.want)
 		}
 	}
 }
 
-// expected returns the cost policy's expected time on one row.
-func expected(t *testing.T, q *Query, row backend.Row) time.Duration {
+// expectedTTFT returns the cost policy's estimate for one row.
+func expectedTTFT(t *testing.T, q *Query, row backend.Row) time.Duration {
 	t.Helper()
 	choices := mustNew(t, PolicyCost).Choose(q, []backend.Row{row}, newRand(), 1, nil)
 	if len(choices) != 1 {
@@ -105,129 +105,129 @@
 }
 
 func TestLongPrefillYieldsToShort(t *testing.T) {
-	row := server("a")
-	idle := expected(t, query(1_000), row)
+	row := idleRow("a")
+	idle := expectedTTFT(t, newQuery(1_000), row)
 	row.Load.PrefillLong = 300_000 // half a minute of work
-	if got := expected(t, query(1_000), row); got <= idle || got > idle+500*time.Millisecond {
+	if got := expectedTTFT(t, newQuery(1_000), row); got <= idle || got > idle+500*time.Millisecond {
 		t.Errorf("short beside long prefill: %v, alone %v", got, idle)
 	}
-	if got := expected(t, query(100_000), row); got < 40*time.Second {
+	if got := expectedTTFT(t, newQuery(100_000), row); got < 40*time.Second {
 		t.Errorf("long behind long prefill: %v, want at least 40s", got)
 	}
 }
 
-func TestOwnDispatchesAndDistanceCost(t *testing.T) {
-	near, own, far := server("near"), server("own"), server("far")
+func TestOwnDispatchesAndDistanceRaiseCost(t *testing.T) {
+	near, own, far := idleRow("near"), idleRow("own"), idleRow("far")
 	own.OwnPrefill, own.OwnRunning = 10_000, 1
 	far.Zone = "z2"
 	p := mustNew(t, PolicyCost)
-	got := chosen(p, query(1_000), []backend.Row{own, far, near}, 3)
+	got := choiceNames(p, newQuery(1_000), []backend.Row{own, far, near}, 3)
 	if diff := cmp.Diff([]string{"near", "far", "own"}, got); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func TestShortAvoidsLongAndLongTakesLeastLong(t *testing.T) {
-	a, b, c := server("a"), server("b"), server("c")
+func TestPromptsAvoidServersWithLongPrefill(t *testing.T) {
+	a, b, c := idleRow("a"), idleRow("b"), idleRow("c")
 	a.Load.PrefillLong = 200_000
 	b.Load.PrefillLong = 100_000
 	c.Load.PrefillShort = 500
 	p := mustNew(t, PolicyCost)
 	for _, tokens := range []int64{1_000, 150_000} {
-		got := chosen(p, query(tokens), []backend.Row{a, b, c}, 1)
+		got := choiceNames(p, newQuery(tokens), []backend.Row{a, b, c}, 1)
 		if diff := cmp.Diff([]string{"c"}, got); diff != "" {
 			t.Errorf("%d tokens: %s", tokens, diff)
 		}
 	}
 }
 
-// Symptom: a server that lost its network looks the emptiest and draws all.
-// Sequence: it reports an empty queue and then nothing for a minute.
-// Cause: a sample that is believed however old it is.
-func TestOldSampleIsDrawnToTheMean(t *testing.T) {
-	old, busy := server("old"), server("busy")
+// A server reports an empty queue, loses its network and reports nothing for a minute. If
+// the sample keeps its weight, the server appears the least loaded and attracts all
+// requests.
+func TestOldSampleRegressesToMean(t *testing.T) {
+	old, busy := idleRow("old"), idleRow("busy")
 	old.LoadAt = now.Add(-time.Minute)
 	busy.Load.PrefillShort = 20_000
 	first := 0
 	p, rnd := mustNew(t, PolicyCost), newRand()
 	for range 1000 {
-		if p.Choose(query(1_000), []backend.Row{old, busy}, rnd, 1, nil)[0].Name == "old" {
+		if p.Choose(newQuery(1_000), []backend.Row{old, busy}, rnd, 1, nil)[0].Name == "old" {
 			first++
 		}
 	}
-	// The busy server's two seconds are known. The other's queue is drawn around
-	// a mean of one: longer than two with the chance exp(-2).
+	// The busy server's wait of two seconds is known. The other server's wait is drawn from
+	// an exponential distribution with a mean of one second; it exceeds two seconds with
+	// probability exp(-2).
 	if first < 820 || first > 910 {
 		t.Errorf("the old sample won %d of 1000, want about 865", first)
 	}
 }
 
-// Symptom: requests fail though a server could have served them.
-// Sequence: all servers but one of a large pool leave.
-// Cause: a sample that happens to meet only those that left.
-func TestLoneServerOfLargePoolIsFound(t *testing.T) {
+// All servers but one of a large pool leave. If a decision relied on a sample alone, it would
+// usually contain none but leaving servers, and requests would fail.
+func TestOnlyUsableServerOfLargePoolIsFound(t *testing.T) {
 	rows := manyRows(1_000)
 	for i := range rows {
 		rows[i].State = backend.StateLeaving
 	}
 	rows[777].State = backend.StateLive
-	got := chosen(mustNew(t, PolicyCost), query(1_000), rows, 3)
+	got := choiceNames(mustNew(t, PolicyCost), newQuery(1_000), rows, 3)
 	if diff := cmp.Diff([]string{rows[777].Name}, got); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func TestSuspectsComeLast(t *testing.T) {
-	a, b := server("a"), server("b")
+func TestSuspectServersRankLast(t *testing.T) {
+	a, b := idleRow("a"), idleRow("b")
 	a.State = backend.StateSuspect
 	b.Load.PrefillShort = 100_000
-	got := chosen(mustNew(t, PolicyCost), query(1_000), []backend.Row{a, b}, 2)
+	got := choiceNames(mustNew(t, PolicyCost), newQuery(1_000), []backend.Row{a, b}, 2)
 	if diff := cmp.Diff([]string{"b", "a"}, got); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func TestBaselines(t *testing.T) {
-	a, b, c := server("a"), server("b"), server("c")
+func TestBaselinePolicies(t *testing.T) {
+	a, b, c := idleRow("a"), idleRow("b"), idleRow("c")
 	a.Load.Running, b.Load.Running, c.Load.Running = 3, 1, 2
 	rows := []backend.Row{a, b, c}
-	if diff := cmp.Diff([]string{"b", "c"}, chosen(mustNew(t, PolicyLeastLoad), query(1), rows, 2)); diff != "" {
+	if diff := cmp.Diff([]string{"b", "c"}, choiceNames(mustNew(t, PolicyLeastLoad), newQuery(1), rows, 2)); diff != "" {
 		t.Error(diff)
 	}
 	rr := mustNew(t, PolicyRoundRobin)
-	seen := map[string]int{}
+	counts := map[string]int{}
 	for range 30 {
-		seen[chosen(rr, query(1), rows, 1)[0]]++
+		counts[choiceNames(rr, newQuery(1), rows, 1)[0]]++
 	}
-	if diff := cmp.Diff(map[string]int{"a": 10, "b": 10, "c": 10}, seen); diff != "" {
+	if diff := cmp.Diff(map[string]int{"a": 10, "b": 10, "c": 10}, counts); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func TestLeastOfDrawIsTheLeastOfD(t *testing.T) {
+func TestBestOfDrawProbability(t *testing.T) {
 	const n, d, draws = 10, 3, 100_000
 	rnd, zero := newRand(), 0
 	for range draws {
-		if leastOfDraw(n, d, rnd) == 0 {
+		if bestOfDraw(n, d, rnd) == 0 {
 			zero++
 		}
 	}
 	if share := float64(zero) / draws; share < 0.29 || share > 0.31 {
-		t.Errorf("the best is chosen in %.3f of draws, want d/n = 0.3", share)
+		t.Errorf("the best position is drawn in %.3f of draws, want d/n = 0.3", share)
 	}
 }
 
-// manyRows returns n rows of a pool with loads of all sorts, sorted by key.
+// manyRows returns n rows of a pool with various loads, sorted by key.
 func manyRows(n int) []backend.Row {
-	table := manyServers(n)
+	table := tableOf(n)
 	return table.Rows("p", nil)
 }
 
-func manyServers(n int) *backend.Table {
+func tableOf(n int) *backend.Table {
 	rnd := newRand()
 	table := backend.NewTable(backend.TableOptions{})
 	for i := range n {
-		d := server(fmt.Sprintf("engine-%05d", i)).Descriptor
+		d := idleRow(fmt.Sprintf("engine-%05d", i)).Descriptor
 		load := backend.Load{
 			Sequence: 1, Running: rnd.Int32N(30), PrefillShort: rnd.Int64N(20_000),
 			Used: rnd.Int64N(300_000),
@@ -240,12 +240,12 @@
 	return table
 }
 
-func TestShortShareOfThePool(t *testing.T) {
+func TestShortShareOfPool(t *testing.T) {
 	for share, want := range map[float64]int{0: 2, 0.5: 4, 0.25: 2, -1: 0, 1: 8} {
 		d := decision{q: &Query{ShortShare: share}, rows: make([]backend.Row, 8)}
 		n := 0
 		for place := range d.rows {
-			if d.inShortShare(place) {
+			if d.inReservedShare(place) {
 				n++
 			}
 		}
--- a/routing/scorer.go
+++ b/routing/scorer.go
@@ -9,110 +9,112 @@
 )
 
 const (
-	// longClass is the shortest class whose prefill yields to shorter ones. It
+	// minLongClass is the lowest class whose prefill yields to that of lower classes. It
 	// matches backend.Load.PrefillLong.
-	longClass = request.ClassLarge
-	// longShare is the share of an engine's prefill that long prompts may take
-	// while shorter ones wait.
-	longShare = 0.25
-	// busyLong is what a short request loses, in seconds, on an engine that is
-	// in the middle of a chunk of a long prompt.
-	busyLong = 0.1
-	// defaultShortShare is the part of a pool that long prompts leave to shorter ones,
-	// unless that costs them more than shortSidePenalty of their own prefill.
-	defaultShortShare = 0.25
-	shortSidePenalty  = 0.5
-	mediumPenalty     = 0.1
-	// requestCost stands for the fixed costs of each request ahead, in seconds.
-	requestCost = 0.002
-	// defaultMemory is the time, in seconds, in which a load sample loses all but
-	// an e-th of its worth, while the pool's prefill times are unknown.
-	// BenchmarkStaleness chose it, for prefills of 0.25 s in the mean.
-	defaultMemory    = 0.03
-	memoryPerPrefill = 0.12
-	minMemory        = 0.001
-	maxMemory        = 5.0
-	// crossZone and crossRegion are added for distance, in seconds: two round
-	// trips, which the path needs before the first token.
-	crossZone   = 0.002
-	crossRegion = 0.100
+	minLongClass = request.ClassLarge
+	// longPrefillShare is the fraction of an engine's prefill capacity that long prompts
+	// may take while shorter ones wait.
+	longPrefillShare = 0.25
+	// longChunkDelay is the delay, in seconds, of a short request on an engine that is
+	// processing a chunk of a long prompt.
+	longChunkDelay = 0.1
+	// defaultShortShare is the fraction of a pool that long prompts avoid in favor of
+	// shorter ones, unless that costs them more than reservedLongPenalty of their own
+	// prefill time. reservedMediumPenalty is the same for medium prompts, in seconds.
+	defaultShortShare     = 0.25
+	reservedLongPenalty   = 0.5
+	reservedMediumPenalty = 0.1
+	// requestOverhead is the fixed cost of each request in the queue, in seconds.
+	requestOverhead = 0.002
+	// defaultSampleDecay is the time, in seconds, in which the weight of a load sample
+	// falls to 1/e while the pool's prefill times are unknown. It fits a mean prefill time
+	// of 0.25 s; see BenchmarkStaleness. sampleDecayPerPrefill is that time per second of
+	// mean prefill time, with minSampleDecay and maxSampleDecay as bounds.
+	defaultSampleDecay    = 0.03
+	sampleDecayPerPrefill = 0.12
+	minSampleDecay        = 0.001
+	maxSampleDecay        = 5.0
+	// crossZoneDelay and crossRegionDelay are the costs of distance, in seconds: the two
+	// round trips before the first token.
+	crossZoneDelay   = 0.002
+	crossRegionDelay = 0.100
 )
 
-// candidate is a server under decision. Times are in seconds.
+// candidate is a server that a decision considers. Times are in seconds.
 type candidate struct {
-	row    int32 // index in the rows
-	tier   tier
-	cached int32   // tokens
-	age    float64 // of the load sample
-	short  float64 // work ahead by the sample, prompts under the long threshold
-	long   float64 // the same of longer prompts
-	own    float64 // work that this entry sent since the sample
-	wait   float64 // the expected wait for prefill
-	cost   float64
-	// shortSide: the server is one that long prompts avoid.
-	shortSide bool
+	row          int32 // index of the row
+	tier         tier
+	cachedTokens int32   // tokens
+	sampleAge    float64 // of the load sample
+	shortWork    float64 // queued work of prompts under the long threshold, by the sample
+	longWork     float64 // queued work of longer prompts, by the sample
+	ownWork      float64 // work that this entry sent since the sample
+	queueWait    float64 // expected wait before the prefill
+	cost         float64
+	// reservedForShort marks a server that long prompts avoid.
+	reservedForShort bool
 }
 
-// queueAhead fills in the work that stands before the request: what the sample
-// says, and apart from it what this entry sent since.
-func queueAhead(q *Query, row *backend.Row, rate float64, c *candidate) {
-	c.age = max(0, q.Now.Sub(row.LoadAt).Seconds())
-	c.long = max(0, float64(row.Load.PrefillLong)/rate-c.age)
-	c.short = requestCost * float64(row.Load.Running+row.Load.Waiting)
-	c.own = requestCost * float64(row.OwnRunning)
-	if q.long() {
-		c.short += float64(row.Load.PrefillShort) / rate
-		c.own += float64(row.OwnPrefill) / rate
+// estimateQueue fills in the work queued ahead of the request: the work in the sample, and
+// separately the work that this entry sent since.
+func estimateQueue(q *Query, row *backend.Row, rate float64, c *candidate) {
+	c.sampleAge = max(0, q.Now.Sub(row.LoadAt).Seconds())
+	c.longWork = max(0, float64(row.Load.PrefillLong)/rate-c.sampleAge)
+	c.shortWork = requestOverhead * float64(row.Load.Running+row.Load.Waiting)
+	c.ownWork = requestOverhead * float64(row.OwnRunning)
+	if q.isLong() {
+		c.shortWork += float64(row.Load.PrefillShort) / rate
+		c.ownWork += float64(row.OwnPrefill) / rate
 		return
 	}
 	ownShort := float64(row.OwnPrefill - row.OwnLong)
-	if c.long > 0 || row.OwnLong > 0 {
-		rate *= 1 - longShare
-		c.own += busyLong
+	if c.longWork > 0 || row.OwnLong > 0 {
+		rate *= 1 - longPrefillShare
+		c.ownWork += longChunkDelay
 	}
-	c.short += float64(row.Load.PrefillShort) / rate
-	c.own += ownShort / rate
-	c.long = 0 // it yields
+	c.shortWork += float64(row.Load.PrefillShort) / rate
+	c.ownWork += ownShort / rate
+	c.longWork = 0 // long prefills yield to the request
 }
 
-// aged estimates the short work ahead at present. An old sample tells less of
-// the present than the usual queue does, so that a draw from queues around the
-// mean takes its place by degrees. A draw, and not the mean itself, because
-// entries that hold the same old samples would all rank the servers alike and
-// send all to one. At least what can't have been worked off is still there.
-func (c *candidate) aged(mean, memory float64, rnd *rand.Rand) float64 {
-	if c.age == 0 {
-		return c.short
+// currentShortWork estimates the short work that is queued now. An old sample says little
+// about the current queue, so its weight decays with its age in favor of a random draw
+// around the mean queue. The mean itself would not do: entries that hold the same old
+// samples would rank the servers alike and send all requests to one. The result is at least
+// the work that can't have been finished since the sample.
+func (c *candidate) currentShortWork(mean, decay float64, rnd *rand.Rand) float64 {
+	if c.sampleAge == 0 {
+		return c.shortWork
 	}
-	weight := math.Exp(-c.age / memory)
-	blend := weight*c.short + (1-weight)*mean*rnd.ExpFloat64()
-	return max(c.short-c.age, blend)
+	weight := math.Exp(-c.sampleAge / decay)
+	blend := weight*c.shortWork + (1-weight)*mean*rnd.ExpFloat64()
+	return max(c.shortWork-c.sampleAge, blend)
 }
 
-// price sets a candidate's cost: the expected time to first token plus what
-// distance and missing memory add. mean is the candidates' mean short work.
-func price(q *Query, row *backend.Row, rates Rates, mean float64, rnd *rand.Rand, c *candidate) {
-	prefill, decode := rowRates(rates, row)
-	prompt := float64(max(0, q.PromptTokens-int64(c.cached)))
-	c.wait = c.aged(mean, rates.memory(), rnd) + c.long + c.own
-	c.cost = c.wait + prompt/prefill + distance(q, row)
-	if c.shortSide && q.long() {
-		c.cost += shortSidePenalty * prompt / prefill
+// estimateCost sets a candidate's cost: the expected time to first token plus penalties for
+// distance and missing memory. mean is the mean short work of the candidates.
+func estimateCost(q *Query, row *backend.Row, rates Rates, mean float64, rnd *rand.Rand, c *candidate) {
+	prefill, decode := serverRates(rates, row)
+	prompt := float64(max(0, q.PromptTokens-int64(c.cachedTokens)))
+	c.queueWait = c.currentShortWork(mean, rates.sampleDecay(), rnd) + c.longWork + c.ownWork
+	c.cost = c.queueWait + prompt/prefill + distanceDelay(q, row)
+	if c.reservedForShort && q.isLong() {
+		c.cost += reservedLongPenalty * prompt / prefill
 	}
-	if c.shortSide && q.Class == request.ClassMedium {
-		c.cost += mediumPenalty
+	if c.reservedForShort && q.Class == request.ClassMedium {
+		c.cost += reservedMediumPenalty
 	}
-	if lack := q.needTokens() - row.FreeTokens(); lack > 0 && row.CapacityTokens() > 0 {
-		c.cost += float64(lack) / decode
+	if shortfall := q.requiredTokens() - row.FreeTokens(); shortfall > 0 && row.CapacityTokens() > 0 {
+		c.cost += float64(shortfall) / decode
 	}
 }
 
-func distance(q *Query, row *backend.Row) float64 {
+func distanceDelay(q *Query, row *backend.Row) float64 {
 	switch {
 	case q.Zone == "" || row.Zone == q.Zone:
 		return 0
 	case q.Region == "" || row.Region == q.Region:
-		return crossZone
+		return crossZoneDelay
 	}
-	return crossRegion
+	return crossRegionDelay
 }
