--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -7,47 +7,44 @@
 
 var t0 = time.Unix(1_000_000, 0)
 
-// Symptom: one prompt, resent by its caller, takes engine after engine.
-// Sequence: it runs beside others, the engine dies; it is sent again through
-// another entry, the next engine dies; and so on.
-// Cause: no memory of what ran on an engine when it died.
+// A prompt crashes an engine that also runs other requests. Its caller sends it again
+// through another entry, it crashes the next engine, and so on, unless the requests that
+// were running on each engine that died are recorded.
 func TestTwoDeathsQuarantine(t *testing.T) {
 	b := NewTracker(DefaultOptions)
-	const killer, innocent = 1, 2
-	b.RecordDeath(killer, 100, t0)
-	b.RecordDeath(innocent, 100, t0)
-	for _, fp := range []uint64{killer, innocent} {
+	const crashing, harmless = 1, 2
+	b.RecordDeath(crashing, 100, t0)
+	b.RecordDeath(harmless, 100, t0)
+	for _, fp := range []uint64{crashing, harmless} {
 		if got := b.Verdict(fp, t0); got != RunAlone {
-			t.Fatalf("%d after one death: %v", fp, got)
+			t.Fatalf("fingerprint %d after one death: verdict %v", fp, got)
 		}
 	}
-	b.RecordCompletion(innocent, t0)
-	b.RecordDeath(killer, 200, t0)
-	if got := b.Verdict(killer, t0); got != Refuse {
-		t.Fatalf("killer: %v", got)
+	b.RecordCompletion(harmless, t0)
+	b.RecordDeath(crashing, 200, t0)
+	if got := b.Verdict(crashing, t0); got != Refuse {
+		t.Fatalf("crashing fingerprint: verdict %v", got)
 	}
-	if got := b.Verdict(innocent, t0); got != Allow {
-		t.Fatalf("innocent: %v", got)
+	if got := b.Verdict(harmless, t0); got != Allow {
+		t.Fatalf("other fingerprint: verdict %v", got)
 	}
-	b.RecordCompletion(killer, t0)
-	if got := b.Verdict(killer, t0); got != Refuse {
-		t.Fatalf("a quarantine was lifted by a run that had started before it: %v", got)
+	b.RecordCompletion(crashing, t0)
+	if got := b.Verdict(crashing, t0); got != Refuse {
+		t.Fatalf("a run that started before the quarantine lifted it: %v", got)
 	}
 }
 
-// Symptom: an innocent prompt is quarantined after one engine death.
-// Sequence: the death is heard from the agent, again from a peer's digest and
-// again from another peer.
-// Cause: reports counted in place of deaths.
-func TestOneDeathHeardTwiceCountsOnce(t *testing.T) {
+// One death is reported by the agent, by the digest of a peer and by another peer. If
+// reports were counted instead of deaths, one death would quarantine a harmless prompt.
+func TestRepeatedDeathReportCountsOnce(t *testing.T) {
 	a, b := NewTracker(DefaultOptions), NewTracker(DefaultOptions)
-	r, news := a.RecordDeath(7, 100, t0)
-	if !news {
-		t.Fatal("first report of a death is news")
+	r, isNew := a.RecordDeath(7, 100, t0)
+	if !isNew {
+		t.Fatal("the first report of a death does not count as new")
 	}
 	for i := range 5 {
 		if got := b.Merge(r, t0); got != (i == 0) {
-			t.Fatalf("news at report %d: %v", i, got)
+			t.Fatalf("report %d counts as new: %v", i, got)
 		}
 	}
 	if got := b.Verdict(7, t0); got != RunAlone {
@@ -55,31 +52,30 @@
 	}
 }
 
-func TestSuspicionAndSentenceExpire(t *testing.T) {
+func TestVerdictsExpire(t *testing.T) {
 	b := NewTracker(DefaultOptions)
 	b.RecordDeath(7, 100, t0)
 	if got := b.Verdict(7, t0.Add(DefaultOptions.SuspicionTTL)); got != Allow {
-		t.Fatalf("suspicion after its time: %v", got)
+		t.Fatalf("verdict %v after the suspicion expired", got)
 	}
 	b.RecordDeath(8, 100, t0)
 	b.RecordDeath(8, 200, t0)
 	if got := b.Verdict(8, t0.Add(DefaultOptions.SuspicionTTL)); got != Refuse {
-		t.Fatalf("sentence at suspicion's end: %v", got)
+		t.Fatalf("quarantine verdict %v after SuspicionTTL", got)
 	}
 	if got := b.Verdict(8, t0.Add(DefaultOptions.QuarantineTTL)); got != Allow {
-		t.Fatalf("sentence after its time: %v", got)
+		t.Fatalf("verdict %v after the quarantine expired", got)
 	}
 }
 
-// Symptom: a fingerprint is refused for days, long after its sentence.
-// Sequence: just before a process forgets the verdict its successor starts and
-// learns it from the records; so does the successor's successor, and so on.
-// Cause: a verdict that begins anew wherever it is heard of.
-func TestSentenceIsNotProlongedByHearsay(t *testing.T) {
-	const killer = 7
+// Shortly before a process drops a verdict, its successor starts and copies the verdict from
+// the records; so does the successor's successor, and so on. If each copy restarted the
+// expiry, the fingerprint would be refused for days, long after its quarantine.
+func TestMergedVerdictKeepsItsExpiry(t *testing.T) {
+	const crashing = 7
 	b := NewTracker(DefaultOptions)
-	b.RecordDeath(killer, 100, t0)
-	b.RecordDeath(killer, 200, t0)
+	b.RecordDeath(crashing, 100, t0)
+	b.RecordDeath(crashing, 200, t0)
 	now := t0
 	for range 5 {
 		now = now.Add(DefaultOptions.QuarantineTTL / 6)
@@ -88,46 +84,45 @@
 			next.Merge(r, now)
 		}
 		b = next
-		if got := b.Verdict(killer, now); got != Refuse {
-			t.Fatalf("verdict %v after %v of the sentence", got, now.Sub(t0))
+		if got := b.Verdict(crashing, now); got != Refuse {
+			t.Fatalf("verdict %v after %v of the quarantine", got, now.Sub(t0))
 		}
 	}
-	if got := b.Verdict(killer, t0.Add(DefaultOptions.QuarantineTTL)); got != Allow {
-		t.Fatalf("verdict %v after the sentence", got)
+	if got := b.Verdict(crashing, t0.Add(DefaultOptions.QuarantineTTL)); got != Allow {
+		t.Fatalf("verdict %v after the quarantine", got)
 	}
 }
 
-// Two processes that each heard of another death convict together, for the
-// whole sentence: neither's suspicion bounds it.
-func TestDeathsHeardSeparatelyConvict(t *testing.T) {
-	const killer = 7
+// Two processes that each recorded a different death quarantine the fingerprint once they
+// exchange records. The quarantine lasts its full time; neither suspicion shortens it.
+func TestMergedDeathsQuarantine(t *testing.T) {
+	const crashing = 7
 	a, b := NewTracker(DefaultOptions), NewTracker(DefaultOptions)
-	r, _ := a.RecordDeath(killer, 100, t0)
-	b.RecordDeath(killer, 200, t0)
+	r, _ := a.RecordDeath(crashing, 100, t0)
+	b.RecordDeath(crashing, 200, t0)
 	b.Merge(r, t0)
-	if got := b.Verdict(killer, t0.Add(DefaultOptions.QuarantineTTL-1)); got != Refuse {
-		t.Fatalf("verdict %v within the sentence", got)
+	if got := b.Verdict(crashing, t0.Add(DefaultOptions.QuarantineTTL-1)); got != Refuse {
+		t.Fatalf("verdict %v within the quarantine", got)
 	}
 }
 
-// Symptom: a prompt kills engine after engine and is never refused.
-// Sequence: an operator asks for more deaths than are told apart.
-// Cause: the count of deaths ends below the one that convicts.
-func TestEveryNumberOfDeathsConvicts(t *testing.T) {
-	for _, deaths := range []int{0, 1, maxDeaths, maxDeaths + 1} {
+// If the configured threshold exceeded the number of deaths that are distinguished, the
+// count would never reach it, and a prompt that crashes engines would never be refused.
+func TestEveryDeathThresholdCanQuarantine(t *testing.T) {
+	for _, deaths := range []int{0, 1, maxTrackedDeaths, maxTrackedDeaths + 1} {
 		opt := DefaultOptions
 		opt.DeathThreshold = deaths
 		b := NewTracker(opt)
-		for death := range uint64(maxDeaths) {
+		for death := range uint64(maxTrackedDeaths) {
 			b.RecordDeath(7, death, t0)
 		}
 		if got := b.Verdict(7, t0); got != Refuse {
-			t.Errorf("verdict %v after %d deaths with Deaths %d", got, maxDeaths, deaths)
+			t.Errorf("verdict %v after %d deaths with DeathThreshold %d", got, maxTrackedDeaths, deaths)
 		}
 	}
 }
 
-func TestBookIsBounded(t *testing.T) {
+func TestTrackerIsBounded(t *testing.T) {
 	opt := DefaultOptions
 	opt.MaxFingerprints = 8
 	b := NewTracker(opt)
