--- a/warmup/doc.go
+++ b/warmup/doc.go
@@ -1,13 +1,14 @@
-// Package warmup bounds what an entry sends to backend servers that warm up. Operators
-// declare how many requests a second a cold server bears, from all entries together;
-// well above that it crashes.
+// Package warmup limits the requests that an entry sends to backend servers that are warming
+// up. Operators declare how many requests per second a cold server can take from all entries
+// together; well above that rate it crashes.
 //
-// No message passes between entries for it. Each knows the names of all entries, and
-// takes of a server's allowance the part that follows from them: an equal whole number of
-// sends in any second, and of what is left over one more for those entries that rank
-// first for that server. Entries that know the same names add up to the allowance.
+// Entries exchange no messages about this limit. Each entry has the names of all entries and
+// computes its share of a server's allowance from them: an equal whole number of sends per
+// second, plus one more for each of the entries that rank first for that server, up to the
+// remainder. The shares of entries with the same names add up to the allowance.
 //
-// Rules kept here: an entry that doesn't know the others yet sends nothing to a cold
-// server; a name counts for a while after it is gone, since its last sends do; a process
-// sends nothing in the first moments of its life, in which an earlier life of it may have.
+// Invariants: an entry without the complete list of names sends nothing to a cold server; the
+// name of a removed entry still counts for a while, because its last sends may be in flight; a
+// process sends nothing to cold servers right after its start, because its predecessor of the
+// same name may just have sent.
 package warmup
--- a/warmup/limiter.go
+++ b/warmup/limiter.go
@@ -10,65 +10,65 @@
 	"github.com/briarturn/briarturn/upstream"
 )
 
-// sendWindow is the time in which an entry sends no more than its part. It is longer
-// than the second of the allowance by what a send may wait for its connection: of two
-// sends a second apart the first may be held up and meet the second.
+// sendWindow is the period in which an entry sends at most its share. It exceeds the second of
+// the allowance by the time that a send may wait for its connection: otherwise a delayed send
+// and a later one could reach the server within the same second.
 const sendWindow = time.Second + upstream.DefaultDialTimeout
 
-// Limiter is an entry's part of the allowances of cold servers. It is safe for
-// concurrent use; mu guards all fields below it and is a leaf lock.
+// Limiter computes and enforces an entry's share of the allowances of cold servers. It is safe
+// for concurrent use; mu guards all fields below it and is a leaf lock.
 type Limiter struct {
-	self  string
-	begun time.Time
+	self      string
+	startedAt time.Time
 
 	mu      sync.Mutex
-	entries names
-	known   bool               // the others were listed
-	servers map[string]*server // by instance
+	entries entrySet
+	listed  bool                   // the complete list of entries was received
+	servers map[string]*coldServer // by instance
 }
 
-// server is what the limiter keeps of one cold server.
-type server struct {
-	sends   []time.Time // in the window, oldest first
-	part    int
-	rate    float64 // that part was worked out for
-	version uint64  // of the names that it was worked out from; 0: never
+// coldServer holds the sends to one cold server and the entry's share of its allowance.
+type coldServer struct {
+	sends   []time.Time // within sendWindow, oldest first
+	share   int
+	rate    float64 // the allowance that share was computed from, requests/s
+	version uint64  // the version of the entries that share was computed from; 0: never computed
 }
 
-// NewLimiter returns the Limiter of an entry, by its name, whose process began at a time.
-func NewLimiter(self string, begun time.Time) *Limiter {
-	return &Limiter{self: self, begun: begun, entries: newNames(self), servers: map[string]*server{}}
+// NewLimiter returns the Limiter of the entry self, whose process started at startedAt.
+func NewLimiter(self string, startedAt time.Time) *Limiter {
+	return &Limiter{self: self, startedAt: startedAt, entries: newEntrySet(self), servers: map[string]*coldServer{}}
 }
 
-// SetEntries takes the names of all other entries that are listed.
+// SetEntries replaces the list of the other entries' names.
 func (l *Limiter) SetEntries(others []string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.known = true
+	l.listed = true
 	l.entries.set(append([]string{l.self}, others...), now)
 }
 
-// CanSend reports whether this entry may send one more request to a cold server that
-// bears so many a second.
+// CanSend reports whether this entry may send one more request to a cold server that can
+// take perSecond requests per second. It records nothing.
 func (l *Limiter) CanSend(instance string, perSecond float64, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.allowsLocked(l.serverLocked(instance), instance, perSecond, now)
+	return l.canSendLocked(l.serverLocked(instance), instance, perSecond, now)
 }
 
-// TryAcquire is Allows for a request that is sent now, and notes it.
+// TryAcquire is like CanSend, but records the request as sent now if it is allowed.
 func (l *Limiter) TryAcquire(instance string, perSecond float64, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.serverLocked(instance)
-	if !l.allowsLocked(s, instance, perSecond, now) {
+	if !l.canSendLocked(s, instance, perSecond, now) {
 		return false
 	}
 	s.sends = append(s.sends, now)
 	return true
 }
 
-// Retain drops the servers that keep does not name.
+// Retain drops all servers for which keep returns false.
 func (l *Limiter) Retain(keep func(instance string) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,48 +79,48 @@
 	}
 }
 
-func (l *Limiter) serverLocked(instance string) *server {
+func (l *Limiter) serverLocked(instance string) *coldServer {
 	s := l.servers[instance]
 	if s == nil {
-		s = &server{}
+		s = &coldServer{}
 		l.servers[instance] = s
 	}
 	return s
 }
 
-func (l *Limiter) allowsLocked(s *server, instance string, perSecond float64, now time.Time) bool {
-	if !l.known || now.Sub(l.begun) < sendWindow {
+func (l *Limiter) canSendLocked(s *coldServer, instance string, perSecond float64, now time.Time) bool {
+	if !l.listed || now.Sub(l.startedAt) < sendWindow {
 		return false
 	}
-	l.entries.forget(now)
+	l.entries.expire(now)
 	if s.version != l.entries.version || s.rate != perSecond {
-		s.part = l.partLocked(instance, int(math.Floor(perSecond)))
+		s.share = l.shareLocked(instance, int(math.Floor(perSecond)))
 		s.rate, s.version = perSecond, l.entries.version
 	}
 	for len(s.sends) > 0 && now.Sub(s.sends[0]) >= sendWindow {
 		s.sends = s.sends[1:]
 	}
-	return len(s.sends) < s.part
+	return len(s.sends) < s.share
 }
 
-// partLocked is this entry's part of an allowance of whole sends.
-func (l *Limiter) partLocked(instance string, allowance int) int {
-	n := len(l.entries.gone)
-	part, rest := allowance/n, allowance%n
-	own := rank(instance, l.self)
-	before := 0
-	for name := range l.entries.gone {
-		if name != l.self && rank(instance, name) < own {
-			before++
+// shareLocked returns this entry's share of an allowance of whole sends.
+func (l *Limiter) shareLocked(instance string, allowance int) int {
+	n := len(l.entries.delistedAt)
+	share, remainder := allowance/n, allowance%n
+	own := entryRank(instance, l.self)
+	higherRanked := 0
+	for name := range l.entries.delistedAt {
+		if name != l.self && entryRank(instance, name) < own {
+			higherRanked++
 		}
 	}
-	if before < rest {
-		part++
+	if higherRanked < remainder {
+		share++
 	}
-	return part
+	return share
 }
 
-// rank orders entries for a server, for each server differently.
-func rank(instance, entry string) uint64 {
+// entryRank orders the entries for a server; the order differs between servers.
+func entryRank(instance, entry string) uint64 {
 	return xxhash.Sum64String(instance + "\x00" + entry)
 }
--- a/warmup/limiter_test.go
+++ b/warmup/limiter_test.go
@@ -14,7 +14,7 @@
 
 const instance = "i-1"
 
-func nameList(n int) []string {
+func entryNames(n int) []string {
 	out := make([]string, n)
 	for i := range out {
 		out[i] = fmt.Sprintf("e%d", i)
@@ -22,54 +22,55 @@
 	return out
 }
 
-// Entries that know the same names share all of an allowance and no more, also where
-// there are more entries than sends.
-func TestPartsAddUpToTheAllowance(t *testing.T) {
+// Entries with the same names use exactly the whole allowance together, also if there are more
+// entries than sends.
+func TestSharesAddUpToAllowance(t *testing.T) {
 	epoch := time.Unix(1000, 0)
 	for _, entries := range []int{1, 5, 30, 430} {
 		for _, rate := range []float64{0.5, 1, 2, 26, 31.9, 500} {
 			sum, taken := 0, 0
-			for _, name := range nameList(entries) {
+			for _, name := range entryNames(entries) {
 				l := NewLimiter(name, epoch)
 				now := epoch.Add(time.Minute)
-				l.SetEntries(nameList(entries), now)
+				l.SetEntries(entryNames(entries), now)
 				for l.TryAcquire(instance, rate, now) {
 					taken++
 				}
-				sum += l.partLocked(instance, int(rate))
+				sum += l.shareLocked(instance, int(rate))
 			}
 			if sum != int(rate) || taken != sum {
-				t.Errorf("%d entries: parts %d, taken %d of %v", entries, sum, taken, rate)
+				t.Errorf("%d entries: shares %d, sent %d of %v", entries, sum, taken, rate)
 			}
 		}
 	}
 }
 
-// A process that has just started knows neither the others nor what an earlier life of it
-// has sent: it sends nothing to cold servers.
-func TestNothingIsSentInTheFirstMoments(t *testing.T) {
+// A process that has just started has neither the names of the other entries nor the sends of
+// its predecessor, so it sends nothing to cold servers.
+func TestNoSendsRightAfterStart(t *testing.T) {
 	epoch := time.Unix(1000, 0)
 	l := NewLimiter("e0", epoch)
 	if l.CanSend(instance, 100, epoch.Add(time.Minute)) {
-		t.Error("sends before it knows the others")
+		t.Error("sends before the other entries are listed")
 	}
-	l.SetEntries(nameList(3), epoch)
+	l.SetEntries(entryNames(3), epoch)
 	if l.CanSend(instance, 100, epoch.Add(sendWindow-1)) {
-		t.Error("sends in its first moments")
+		t.Error("sends within sendWindow after its start")
 	}
 	if !l.CanSend(instance, 100, epoch.Add(sendWindow)) {
-		t.Error("never sends")
+		t.Error("does not send after sendWindow")
 	}
 }
 
-// A send that waits for its connection reaches the server beside the next second's.
-func TestSendsThatAreHeldUpStayASecondApart(t *testing.T) {
+// A send that waits for its connection could reach the server within the same second as the
+// next one.
+func TestDelayedSendsStayASecondApart(t *testing.T) {
 	epoch := time.Unix(1000, 0)
 	l := NewLimiter("e0", epoch)
 	l.SetEntries(nil, epoch)
 	first := epoch.Add(time.Minute)
 	if !l.TryAcquire(instance, 1, first) {
-		t.Fatal("the first is refused")
+		t.Fatal("the first send is refused")
 	}
 	arrives := first.Add(upstream.DefaultDialTimeout)
 	for at := first; at.Sub(arrives) < time.Second; at = at.Add(10 * time.Millisecond) {
@@ -79,31 +80,31 @@
 	}
 }
 
-// The part of an entry doesn't grow at the moment at which another one is gone, whose last
-// sends are still under way.
-func TestPartDoesNotGrowAtOnce(t *testing.T) {
+// When another entry is removed, its last sends may still be in flight, so the shares of the
+// remaining entries must not grow at once.
+func TestShareGrowsOnlyAfterRetention(t *testing.T) {
 	epoch := time.Unix(1000, 0)
 	l := NewLimiter("e0", epoch)
-	l.SetEntries(nameList(10), epoch)
-	l.SetEntries(nameList(1), epoch.Add(10*time.Second))
-	if part := l.partLocked(instance, 10); part != 1 {
-		t.Errorf("part %d", part)
+	l.SetEntries(entryNames(10), epoch)
+	l.SetEntries(entryNames(1), epoch.Add(10*time.Second))
+	if share := l.shareLocked(instance, 10); share != 1 {
+		t.Errorf("share %d", share)
 	}
-	l.entries.forget(epoch.Add(10*time.Second + forgetAfter))
-	if part := l.partLocked(instance, 10); part != 10 {
-		t.Errorf("part %d after a minute", part)
+	l.entries.expire(epoch.Add(10*time.Second + delistedRetention))
+	if share := l.shareLocked(instance, 10); share != 10 {
+		t.Errorf("share %d after a minute", share)
 	}
 }
 
-// An entry that was listed for long counts as gone for long at the moment at which it goes, so
-// that the others take over its part while its last sends are under way; or it counts for ever
-// since nobody else comes or goes.
-func TestPartOfALongListedEntryIsKeptForAWhile(t *testing.T) {
+// An entry that was listed for long is removed. If its age counted from when it was listed, the
+// others would take over its share at once, while its last sends are in flight. If names expired
+// only on a change of the list, its name would count forever when no other entry joins or leaves.
+func TestShareOfDelistedEntryIsRetained(t *testing.T) {
 	epoch := time.Unix(1000, 0)
 	l := NewLimiter("e0", epoch)
-	l.SetEntries(nameList(10), epoch)
-	gone := epoch.Add(time.Hour)
-	l.SetEntries(nameList(1), gone)
+	l.SetEntries(entryNames(10), epoch)
+	removed := epoch.Add(time.Hour)
+	l.SetEntries(entryNames(1), removed)
 	takes := func(now time.Time) int {
 		n := 0
 		for l.TryAcquire(instance, 10, now) {
@@ -111,32 +112,32 @@
 		}
 		return n
 	}
-	if n := takes(gone.Add(time.Second)); n != 1 {
-		t.Errorf("%d sends right after the others have gone, want its own part, 1", n)
+	if n := takes(removed.Add(time.Second)); n != 1 {
+		t.Errorf("%d sends right after the others were removed, want its own share, 1", n)
 	}
-	if n := takes(gone.Add(forgetAfter + time.Second)); n != 10 {
+	if n := takes(removed.Add(delistedRetention + time.Second)); n != 10 {
 		t.Errorf("%d sends a minute later, want all 10", n)
 	}
 }
 
-// member is one process of an entry in the play of many.
+// member is one entry process in the simulation of many.
 type member struct {
 	*Limiter
-	frozen time.Time // until then
-	cut    bool      // hears of no more names
+	frozenUntil time.Time // sends nothing until then
+	partitioned bool      // receives no more lists
 }
 
-// A cold server gets more in a second than operators declare, and crashes: by joins, cuts,
-// freezes and restarts, in any order, and by lists that come late.
+// A cold server must not receive more requests per second than declared, whatever the order of
+// joins, partitions, pauses and restarts, and also if lists arrive late.
 //
-// Entries that know all names add up to the allowance; each that joins meanwhile adds a part
-// at most until the others know of it.
-func TestNoOrderOfEventsOverloadsAColdServer(t *testing.T) {
+// The shares of entries with all names add up to the allowance. Each entry that joins meanwhile
+// adds at most one share until the others receive its name.
+func TestColdServerIsNeverOverloaded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		epoch := time.Unix(1000, 0)
 		n := rapid.IntRange(1, 12).Draw(t, "entries")
 		rate := rapid.IntRange(1, 40).Draw(t, "rate")
-		listed := nameList(n)
+		listed := entryNames(n)
 		joins := rapid.Bool().Draw(t, "joins")
 		var members []*member
 		for _, name := range listed {
@@ -162,25 +163,25 @@
 				fresh.SetEntries(listed, now)
 				members = append(members, fresh)
 			case 1:
-				m.cut = true
+				m.partitioned = true
 			case 2:
-				m.frozen = now.Add(3 * time.Second)
+				m.frozenUntil = now.Add(3 * time.Second)
 			case 3:
-				m.Limiter = NewLimiter(m.self, now) // restarted
+				m.Limiter = NewLimiter(m.self, now) // restart
 				m.SetEntries(listed, now)
 			case 4:
-				if !m.cut {
+				if !m.partitioned {
 					m.SetEntries(listed, now)
 				}
-			case 5: // all who can hear do
+			case 5: // every member that is not partitioned
 				for _, other := range members {
-					if !other.cut {
+					if !other.partitioned {
 						other.SetEntries(listed, now)
 					}
 				}
-			default: // as much as may be
+			default: // as many sends as allowed
 				for _, other := range members {
-					for now.After(other.frozen) && other.TryAcquire(instance, float64(rate), now) {
+					for now.After(other.frozenUntil) && other.TryAcquire(instance, float64(rate), now) {
 						held := time.Duration(rapid.IntRange(0, 400).Draw(t, "held")) * time.Millisecond
 						sends = append(sends, now.Add(held))
 					}
@@ -188,13 +189,13 @@
 			}
 		}
 		most := rate + joined*int(math.Ceil(float64(rate)/float64(n)))
-		if got := mostInASecond(sends); got > most {
-			t.Fatalf("%d in a second, %d are borne by %d entries, %d joined", got, rate, n, joined)
+		if got := maxPerSecond(sends); got > most {
+			t.Fatalf("%d requests in a second, allowance %d, %d entries, %d joined", got, rate, n, joined)
 		}
 	})
 }
 
-func mostInASecond(sends []time.Time) int {
+func maxPerSecond(sends []time.Time) int {
 	slices.SortFunc(sends, time.Time.Compare)
 	most, from := 0, 0
 	for i, at := range sends {
