--- a/eligible/cold.go
+++ b/eligible/cold.go
@@ -8,24 +8,25 @@
 	"github.com/briarturn/briarturn/warmup"
 )
 
-// ColdLimit admits servers that are warm, and cold ones as long as this entry may send them
-// more.
+// ColdLimit admits warm servers, and cold ones as long as this entry may send them more
+// requests.
 type ColdLimit struct {
 	Limiter   *warmup.Limiter
-	PerSecond float64 // that a cold server bears; 0: not declared, all are admitted
+	PerSecond float64 // requests/s that a cold server can take; 0: not declared, all servers are admitted
 	Zones     evacuation.View
 	Now       time.Time
 }
 
-// Cause implements Stage.
+// Cause implements Condition.
 func (ColdLimit) Cause() Cause { return ColdLimitReached }
 
-// Admits implements Stage.
+// Admits implements Condition.
 func (w ColdLimit) Admits(s upstream.Server) bool {
 	return w.PerSecond <= 0 || !w.IsCold(s) || w.Limiter.CanSend(s.Instance, w.PerSecond, w.Now)
 }
 
-// IsCold reports whether a server is cold, or may have become so without its word.
+// IsCold reports whether a server is cold, or may be because its zone was just restored and its
+// registration has not been read since.
 func (w ColdLimit) IsCold(s upstream.Server) bool {
 	return w.Now.Before(s.ColdUntil) || w.Zones.RecentlyRestored(s.Zone)
 }
--- a/eligible/stage_test.go
+++ b/eligible/condition_test.go
@@ -21,9 +21,9 @@
 	return out
 }
 
-// A request leaves its allowed regions: by its route's, its workspace's, both, or a server
-// whose region isn't known.
-func TestRegionsOfRouteAndWorkspaceBothBind(t *testing.T) {
+// A request must not leave its allowed regions, whether its route, its workspace or both
+// restrict them, and must not reach a server whose region is unknown.
+func TestRouteAndWorkspaceRegionsBothApply(t *testing.T) {
 	for _, c := range []struct {
 		name             string
 		route, workspace routetable.Regions
@@ -47,8 +47,9 @@
 	}
 }
 
-// Each stage is named where it leaves no server, and a service without servers has no cause.
-func TestCauseIsTheStageThatLeftNone(t *testing.T) {
+// The cause is that of the condition that excluded the last servers. A service without servers
+// has no cause.
+func TestCauseNamesTheRejectingCondition(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() boottime.Instant { return boottime.Instant(time.Hour) }
 	zones := evacuation.NewZones(clock)
@@ -84,8 +85,8 @@
 	}
 }
 
-// Servers of a zone that was restored are taken for cold until they are known to be warm.
-func TestServersOfARestoredZoneCountAsCold(t *testing.T) {
+// Servers of a restored zone count as cold until their registrations are read again.
+func TestServersOfRestoredZoneCountAsCold(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := boottime.Instant(time.Hour)
 	zones := evacuation.NewZones(func() boottime.Instant { return clock })
@@ -93,9 +94,9 @@
 	zones.End("a")
 	s := upstream.Server{Instance: "x", Zone: "a"}
 	if !(ColdLimit{Zones: zones.View(clock - 1), Now: now}).IsCold(s) {
-		t.Error("taken for warm")
+		t.Error("a server of a restored zone counts as warm")
 	}
 	if (ColdLimit{Zones: zones.View(clock + 1), Now: now}).IsCold(s) {
-		t.Error("stays cold though its registration was read since")
+		t.Error("a server stays cold although its registration was read since")
 	}
 }
--- a/eligible/doc.go
+++ b/eligible/doc.go
@@ -1,4 +1,4 @@
-// Package eligible narrows the backend servers of a service to those that a request may
-// be sent to now. Each stage states one condition; a server has to meet all. It decides on
-// what it is given and does no I/O.
+// Package eligible selects the backend servers of a service that a request may be sent to now.
+// Each Condition checks one property; a server must meet all of them. The package does no I/O;
+// its inputs are arguments.
 package eligible
--- a/eligible/region.go
+++ b/eligible/region.go
@@ -5,17 +5,17 @@
 	"github.com/briarturn/briarturn/upstream"
 )
 
-// InRegions admits servers in the regions that the request's route and its workspace allow;
-// where both name regions both bind.
+// InRegions admits servers in the regions that both the request's route and its workspace
+// allow. An empty list allows all regions.
 type InRegions struct {
 	Route     routetable.Regions
 	Workspace routetable.Regions
 }
 
-// Cause implements Stage.
+// Cause implements Condition.
 func (InRegions) Cause() Cause { return OutOfRegion }
 
-// Admits implements Stage.
+// Admits implements Condition.
 func (h InRegions) Admits(s upstream.Server) bool {
 	return h.Route.Allows(s.Region) && h.Workspace.Allows(s.Region)
 }
--- a/eligible/zone.go
+++ b/eligible/zone.go
@@ -5,11 +5,11 @@
 	"github.com/briarturn/briarturn/upstream"
 )
 
-// NotEvacuated admits servers of zones that operators have not evacuated.
+// NotEvacuated admits servers in zones that operators have not evacuated.
 type NotEvacuated struct{ Zones evacuation.View }
 
-// Cause implements Stage.
+// Cause implements Condition.
 func (NotEvacuated) Cause() Cause { return ZoneEvacuated }
 
-// Admits implements Stage.
+// Admits implements Condition.
 func (z NotEvacuated) Admits(s upstream.Server) bool { return !z.Zones.Evacuated(s.Zone) }
