--- a/evacuation/doc.go
+++ b/evacuation/doc.go
@@ -1,8 +1,8 @@
-// Package evacuation keeps which availability zones operators have evacuated: nothing
-// new is sent to the backend servers of such a zone until it is restored. What runs
-// there goes on.
+// Package evacuation tracks which availability zones operators have evacuated: no new requests
+// are sent to the backend servers of such a zone until it is restored. Running requests
+// continue.
 //
-// Rules kept here: an evacuation holds until its end was read, however old the word of
-// it is; a zone that was restored counts as just restored until the list of backend
-// servers was proved current after that, since its servers may be cold by then.
+// Invariants: an evacuation lasts until its end is read from the store, however old the
+// information is; a restored zone counts as recently restored until the list of backend servers
+// is confirmed to be current as of a later time, because its servers may have become cold.
 package evacuation
--- a/evacuation/zones.go
+++ b/evacuation/zones.go
@@ -9,30 +9,30 @@
 	"github.com/briarturn/briarturn/internal/boottime"
 )
 
-// Zones is what an entry knows of evacuations. It is safe for concurrent use; mu guards
-// all fields and is a leaf lock.
+// Zones holds an entry's view of the evacuated zones. It is safe for concurrent use; mu guards
+// all fields below it and is a leaf lock.
 type Zones struct {
 	now boottime.Clock
 
-	mu        sync.Mutex
-	evacuated map[string]bool
-	restored  map[string]boottime.Instant // when the end of an evacuation was read
-	proved    boottime.Instant
-	known     bool
+	mu          sync.Mutex
+	evacuated   map[string]bool
+	restored    map[string]boottime.Instant // when the end of an evacuation was read, by zone
+	currentAsOf boottime.Instant
+	listed      bool // a complete list was received
 }
 
-// NewZones returns Zones that know of nothing yet.
+// NewZones returns Zones without any list yet.
 func NewZones(now boottime.Clock) *Zones {
 	return &Zones{now: now, evacuated: map[string]bool{}, restored: map[string]boottime.Instant{}}
 }
 
-// Replace takes the complete list of evacuated zones, read by a call begun at asked. It
-// returns what began and what ended by it.
-func (z *Zones) Replace(zones []string, asked boottime.Instant) (began, ended []string) {
+// Replace sets the complete list of evacuated zones, from a store call that started at
+// requestedAt. It returns the zones whose evacuation began and those whose evacuation ended.
+func (z *Zones) Replace(zones []string, requestedAt boottime.Instant) (began, ended []string) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.known = true
-	z.proveLocked(asked)
+	z.listed = true
+	z.markCurrentLocked(requestedAt)
 	for _, zone := range zones {
 		if z.beginLocked(zone) {
 			began = append(began, zone)
@@ -47,14 +47,14 @@
 	return began, ended
 }
 
-// Begin notes that a zone is evacuated, and reports whether that is news.
+// Begin marks a zone as evacuated and reports whether that is a change.
 func (z *Zones) Begin(zone string) bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	return z.beginLocked(zone)
 }
 
-// End notes that a zone was restored, and reports whether that is news.
+// End marks a zone as restored and reports whether that is a change.
 func (z *Zones) End(zone string) bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -65,11 +65,11 @@
 	return true
 }
 
-// MarkCurrent notes that a call begun at asked showed what is known to be current.
-func (z *Zones) MarkCurrent(asked boottime.Instant) {
+// MarkCurrent records that a store call that started at requestedAt confirmed the known state.
+func (z *Zones) MarkCurrent(requestedAt boottime.Instant) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	z.proveLocked(asked)
+	z.markCurrentLocked(requestedAt)
 }
 
 func (z *Zones) beginLocked(zone string) bool {
@@ -86,25 +86,27 @@
 	z.restored[zone] = z.now()
 }
 
-func (z *Zones) proveLocked(asked boottime.Instant) { z.proved = max(z.proved, asked) }
+func (z *Zones) markCurrentLocked(requestedAt boottime.Instant) {
+	z.currentAsOf = max(z.currentAsOf, requestedAt)
+}
 
-// Evacuated reports whether a zone is.
+// Evacuated reports whether a zone is evacuated.
 func (z *Zones) Evacuated(zone string) bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	return z.evacuated[zone]
 }
 
-// View is what was known at one moment. It is immutable.
+// View is an immutable copy of the state at one moment.
 type View struct {
 	evacuated map[string]bool
 	restored  map[string]bool
 }
 
-// View returns what is known now. listed is when the list of backend servers was last
-// proved current: servers of a zone that was restored later may have become cold
-// without its word.
-func (z *Zones) View(listed boottime.Instant) View {
+// View returns the current state. Servers of a zone that was restored after serversCurrentAsOf,
+// the time as of which the list of backend servers was last confirmed, may have become cold
+// without the entry having read it. Zones restored earlier are dropped from the record.
+func (z *Zones) View(serversCurrentAsOf boottime.Instant) View {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	v := View{}
@@ -112,7 +114,7 @@
 		v.evacuated = maps.Clone(z.evacuated)
 	}
 	for zone, at := range z.restored {
-		if at <= listed {
+		if at <= serversCurrentAsOf {
 			delete(z.restored, zone)
 			continue
 		}
@@ -124,23 +126,23 @@
 	return v
 }
 
-// Evacuated reports whether a zone takes nothing new.
+// Evacuated reports whether a zone takes no new requests.
 func (v View) Evacuated(zone string) bool { return v.evacuated[zone] }
 
-// RecentlyRestored reports whether a zone was restored a moment ago, so that the coldness of
-// its servers may not be known yet.
+// RecentlyRestored reports whether a zone was restored so recently that the entry may not have
+// read yet which of its servers are cold.
 func (v View) RecentlyRestored(zone string) bool { return v.restored[zone] }
 
-// Zones returns the evacuated zones in order of their names.
+// Zones returns the evacuated zones, sorted by name.
 func (v View) Zones() []string { return slices.Sorted(maps.Keys(v.evacuated)) }
 
-// Age returns how long ago what is known was last proved current; ok is false before
-// the first complete list.
+// Age returns the time since the state was last confirmed to be current; ok is false before the
+// first complete list.
 func (z *Zones) Age() (age time.Duration, ok bool) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	if !z.known {
+	if !z.listed {
 		return 0, false
 	}
-	return z.now().Sub(z.proved), true
+	return z.now().Sub(z.currentAsOf), true
 }
--- a/evacuation/zones_test.go
+++ b/evacuation/zones_test.go
@@ -15,15 +15,16 @@
 	return NewZones(func() boottime.Instant { return now }), &now
 }
 
-// An entry that has just started must not take zones that it hasn't heard of for usable.
-func TestNothingIsKnownBeforeTheFirstList(t *testing.T) {
+// An entry that has just started must not treat zones as usable before it has the complete
+// list.
+func TestAgeIsUnknownBeforeFirstList(t *testing.T) {
 	z, now := newZones()
 	if _, ok := z.Age(); ok {
-		t.Error("known before the first list")
+		t.Error("age known before the first list")
 	}
 	z.Begin("a")
 	if _, ok := z.Age(); ok {
-		t.Error("one event counts as the whole list")
+		t.Error("a single event counts as the complete list")
 	}
 	z.Replace(nil, *now)
 	*now = now.Add(3 * time.Second)
@@ -32,8 +33,8 @@
 	}
 }
 
-// An evacuation that is taken back and asked for again within a second holds.
-func TestAskedForAgainAtOnce(t *testing.T) {
+// An evacuation that ends and begins again within a second is in force.
+func TestEvacuationRepeatedRightAfterEndHolds(t *testing.T) {
 	z, now := newZones()
 	z.Replace(nil, *now)
 	z.Begin("a")
@@ -44,9 +45,9 @@
 	}
 }
 
-// A server that became cold in an evacuated zone is taken for warm if the end of the
-// evacuation is heard of before its new registration.
-func TestZoneCountsAsRestoredUntilItsServersAreKnown(t *testing.T) {
+// A server that became cold in an evacuated zone would count as warm if the end of the
+// evacuation is read before the server's new registration.
+func TestZoneIsRecentlyRestoredUntilServersAreRefreshed(t *testing.T) {
 	z, now := newZones()
 	z.Replace([]string{"a"}, *now)
 	listed := *now
@@ -56,15 +57,15 @@
 		t.Error(diff)
 	}
 	if v := z.View(listed); v.Evacuated("a") || !v.RecentlyRestored("a") || !v.Evacuated("b") {
-		t.Error("a zone restored counts as warm before its servers were read again")
+		t.Error("a restored zone counts as warm before its servers were read again")
 	}
 	if z.View(now.Add(time.Millisecond)).RecentlyRestored("a") {
-		t.Error("a zone stays restored though its servers were read again")
+		t.Error("a zone stays recently restored although its servers were read again")
 	}
 }
 
-// What is known at the end follows from the last list and the events behind it, in
-// whatever order evacuations begin and end.
+// The final state follows from the last list and the events after it, in whatever order
+// evacuations begin and end.
 func TestZonesFollowTheStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		z, now := newZones()
