--- a/slo/burn.go
+++ b/slo/burn.go
@@ -9,14 +9,14 @@
 	"github.com/briarturn/briarturn/request"
 )
 
-// ErrInvalidLevel means that a service level makes no sense.
+// ErrInvalidLevel means that a service level fails validation.
 const ErrInvalidLevel = errors.ConstError("invalid service level")
 
-// State is how urgent a burn is.
+// State is the alert state of a service level.
 type State string
 
-// States, by rising urgency. StateUnknown says that a process doesn't keep
-// counts for one of the level's windows: its burn would read as 0.
+// States in rising order of severity. StateUnknown means that a process keeps no counts for one
+// of the level's windows, so that its burn rate would read as 0.
 const (
 	StateOK      State = "ok"
 	StateUnknown State = "unknown"
@@ -24,14 +24,14 @@
 	StatePage    State = "page"
 )
 
-func (s State) rank() int {
+func (s State) severity() int {
 	return slices.Index([]State{StateOK, StateUnknown, StateWarning, StatePage}, s)
 }
 
-// minWindow is the shortest window.
+// minWindow is the shortest window allowed.
 const minWindow = time.Second
 
-// AlertRule is an alarm over two windows: both must burn at Burn or more.
+// AlertRule raises State if the burn rate is at least BurnThreshold over both windows.
 type AlertRule struct {
 	ShortWindow   time.Duration `json:"short_ns"`
 	LongWindow    time.Duration `json:"long_ns"`
@@ -47,46 +47,46 @@
 	}
 }
 
-// Windows returns the windows that the pairs need, in rising order.
-func Windows(pairs []AlertRule) []time.Duration {
+// Windows returns the distinct windows of the rules in ascending order.
+func Windows(rules []AlertRule) []time.Duration {
 	var out []time.Duration
-	for _, p := range pairs {
+	for _, p := range rules {
 		out = append(out, p.ShortWindow, p.LongWindow)
 	}
 	slices.Sort(out)
 	return slices.Compact(out)
 }
 
-// Level is a service level: what share of which requests must be good.
+// Level is a service level: the share of requests that must be good, and which requests count.
 type Level struct {
 	Name       string          `json:"name"`
-	Workspace  string          `json:"workspace,omitempty"` // all if empty
-	Classes    []request.Class `json:"classes,omitempty"`   // all if empty
+	Workspace  string          `json:"workspace,omitempty"` // empty: all
+	Classes    []request.Class `json:"classes,omitempty"`   // empty: all
 	Objective  string          `json:"objective"`
-	Target     float64         `json:"target"` // share of good requests, below 1
+	Target     float64         `json:"target"` // required share of good requests, below 1
 	AlertRules []AlertRule     `json:"pairs,omitempty"`
 }
 
-func (l *Level) check() error {
+func (l *Level) validate() error {
 	if l.Objective == "" || !(l.Target > 0 && l.Target < 1) {
 		return errors.Annotatef(ErrInvalidLevel, "level %q: objective, and target within 0 and 1, are required", l.Name)
 	}
 	for i, p := range l.AlertRules {
-		if p.ShortWindow < minWindow || p.LongWindow < p.ShortWindow || !(p.BurnThreshold > 0) || p.State.rank() < 0 {
+		if p.ShortWindow < minWindow || p.LongWindow < p.ShortWindow || !(p.BurnThreshold > 0) || p.State.severity() < 0 {
 			return errors.Annotatef(ErrInvalidLevel, "level %q: pairs[%d] needs windows of %v or more, a burn above 0 and a state", l.Name, i, minWindow)
 		}
 	}
 	return nil
 }
 
-func (l *Level) pairs() []AlertRule {
+func (l *Level) alertRules() []AlertRule {
 	if len(l.AlertRules) == 0 {
 		return DefaultAlertRules()
 	}
 	return l.AlertRules
 }
 
-func (l *Level) covers(k Key) bool {
+func (l *Level) matches(k Key) bool {
 	if l.Workspace != "" && l.Workspace != k.Workspace {
 		return false
 	}
@@ -102,25 +102,25 @@
 	Good   uint64        `json:"good"`
 	Bad    uint64        `json:"bad"`
 	Burn   float64       `json:"burn"`
-	// Untracked: some process keeps no counts for this window.
+	// Untracked means that some process keeps no counts for this window.
 	Untracked bool `json:"untracked,omitempty"`
 }
 
-// Result is the burn of one level.
+// Result holds the burn rates and the alert state of one level.
 type Result struct {
-	Windows []WindowBurn `json:"windows"` // rising
+	Windows []WindowBurn `json:"windows"` // by ascending window
 	State   State        `json:"state"`
 }
 
-// Burn works out a level's burn rates at now from the snapshots of all
-// entries. A window covers itself and the slice in progress, a thirtieth more
-// at most. Errors match ErrInvalidLevel.
+// Burn computes a level's burn rates at now from the snapshots of all entries. A window covers
+// itself and the cell in progress, which is at most a thirtieth more. Errors match
+// ErrInvalidLevel.
 func Burn(level Level, snaps []Snapshot, now time.Time) (Result, error) {
-	if err := level.check(); err != nil {
+	if err := level.validate(); err != nil {
 		return Result{}, errors.Trace(err)
 	}
 	res := Result{State: StateOK}
-	for _, w := range Windows(level.pairs()) {
+	for _, w := range Windows(level.alertRules()) {
 		res.Windows = append(res.Windows, windowBurn(&level, snaps, w, now))
 	}
 	for _, w := range res.Windows {
@@ -128,15 +128,15 @@
 			res.State = StateUnknown
 		}
 	}
-	for _, p := range level.pairs() {
-		if res.at(p.ShortWindow) >= p.BurnThreshold && res.at(p.LongWindow) >= p.BurnThreshold && p.State.rank() > res.State.rank() {
+	for _, p := range level.alertRules() {
+		if res.burnOver(p.ShortWindow) >= p.BurnThreshold && res.burnOver(p.LongWindow) >= p.BurnThreshold && p.State.severity() > res.State.severity() {
 			res.State = p.State
 		}
 	}
 	return res, nil
 }
 
-func (r *Result) at(window time.Duration) float64 {
+func (r *Result) burnOver(window time.Duration) float64 {
 	for _, w := range r.Windows {
 		if w.Window == window {
 			return w.Burn
@@ -146,23 +146,23 @@
 }
 
 func windowBurn(level *Level, snaps []Snapshot, window time.Duration, now time.Time) WindowBurn {
-	out := WindowBurn{Window: window, Untracked: untracked(level, snaps, window)}
-	last := epochOf(now, widthOf(window))
-	eachCell(level, snaps, window, func(c Cell) {
+	out := WindowBurn{Window: window, Untracked: isUntracked(level, snaps, window)}
+	last := epochOf(now, cellWidth(window))
+	forEachCell(level, snaps, window, func(c Cell) {
 		if c.Epoch >= last-ringCells && c.Epoch <= last {
 			out.Good += c.Good
 			out.Bad += c.Bad
 		}
 	})
-	out.Burn = rate(out.Good, out.Bad, level.Target)
+	out.Burn = burnRate(out.Good, out.Bad, level.Target)
 	return out
 }
 
-func untracked(level *Level, snaps []Snapshot, window time.Duration) bool {
+func isUntracked(level *Level, snaps []Snapshot, window time.Duration) bool {
 	for _, s := range snaps {
 		for i := range s.Series {
-			has := func(c Counts) bool { return c.Width == widthOf(window) }
-			if level.covers(s.Series[i].Key) && !slices.ContainsFunc(s.Series[i].Counts, has) {
+			has := func(c Counts) bool { return c.Width == cellWidth(window) }
+			if level.matches(s.Series[i].Key) && !slices.ContainsFunc(s.Series[i].Counts, has) {
 				return true
 			}
 		}
@@ -170,15 +170,15 @@
 	return false
 }
 
-// eachCell calls fn for each cell of a window that the level covers.
-func eachCell(level *Level, snaps []Snapshot, window time.Duration, fn func(Cell)) {
+// forEachCell calls fn for each cell of a window that the level covers.
+func forEachCell(level *Level, snaps []Snapshot, window time.Duration, fn func(Cell)) {
 	for _, s := range snaps {
 		for i := range s.Series {
-			if !level.covers(s.Series[i].Key) {
+			if !level.matches(s.Series[i].Key) {
 				continue
 			}
 			for _, counts := range s.Series[i].Counts {
-				if counts.Width == widthOf(window) {
+				if counts.Width == cellWidth(window) {
 					for _, c := range counts.Cells {
 						fn(c)
 					}
@@ -188,7 +188,7 @@
 	}
 }
 
-func rate(good, bad uint64, target float64) float64 {
+func burnRate(good, bad uint64, target float64) float64 {
 	if good+bad == 0 {
 		return 0
 	}
--- a/slo/example_test.go
+++ b/slo/example_test.go
@@ -8,7 +8,7 @@
 	"github.com/briarturn/briarturn/slo"
 )
 
-// Two entries count requests; an operator merges them and reads the burn.
+// Two entries count requests, and an operator merges the counts and reads the burn rate.
 func Example() {
 	now := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 	key := slo.Key{Workspace: "appointments", Class: request.ClassShort, Objective: "ttft"}
--- a/slo/fuzz_test.go
+++ b/slo/fuzz_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// FuzzSnapshot feeds what another process might send. It must be refused with
-// an error, or merge and report without a panic.
+// FuzzSnapshot decodes arbitrary data from another process. It must be rejected with an error,
+// or merged and reported without a panic.
 func FuzzSnapshot(f *testing.F) {
 	tr := NewTracker(Config{})
 	tr.Record(key("a"), false, time.Second, start)
--- a/slo/page.go
+++ b/slo/page.go
@@ -17,7 +17,8 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Size of the plot, and how many levels it shows: those that burn most.
+// Size of the plot and the maximum number of levels in it. Those with the highest burn rates
+// are shown.
 const (
 	plotWidth  = 10 * vg.Inch
 	plotHeight = 4 * vg.Inch
@@ -51,14 +52,14 @@
 	Rows   []pageRow
 }
 
-// WriteHTML writes the report as one page that needs no other file.
+// WriteHTML writes the report as one self-contained page.
 func (r *Report) WriteHTML(w io.Writer) error {
 	var svg bytes.Buffer
 	if err := r.WriteSVG(&svg); err != nil {
 		return errors.Trace(err)
 	}
-	// The XML declaration has no place inside HTML. The text within the plot
-	// was escaped by the plot library.
+	// An XML declaration is not allowed inside HTML. The plot library has escaped the text in
+	// the plot.
 	start := max(bytes.Index(svg.Bytes(), []byte("<svg")), 0)
 	data := pageData{Report: r, Plot: template.HTML(svg.Bytes()[start:])}
 	for i := range r.Levels {
@@ -71,16 +72,16 @@
 	return errors.Annotate(page.Execute(w, data), "step write page")
 }
 
-// WriteSVG plots the burn of each level over its longest window.
+// WriteSVG plots the burn rate of each level over its longest window.
 func (r *Report) WriteSVG(w io.Writer) error {
 	p := plot.New()
 	p.Title.Text = "Burn rate by service level"
 	p.X.Tick.Marker = plot.TimeTicks{Format: "15:04", Time: plot.UTCUnixTime}
 	p.X.Label.Text = "time, UTC"
-	p.Y.Label.Text = "burn rate (1 = budget just lasts)"
+	p.Y.Label.Text = "burn rate (1 = budget lasts exactly its period)"
 	p.Y.Min = 0
 	p.Add(plotter.NewGrid())
-	for i, l := range r.mostBurning() {
+	for i, l := range r.highestBurn() {
 		line, err := plotter.NewLine(l.points())
 		if err != nil {
 			return errors.Annotatef(err, "step plot level %q", l.Name)
@@ -97,13 +98,13 @@
 	return errors.Annotate(err, "step write plot")
 }
 
-func (r *Report) mostBurning() []LevelReport {
+func (r *Report) highestBurn() []LevelReport {
 	levels := slices.Clone(r.Levels)
-	slices.SortStableFunc(levels, func(a, b LevelReport) int { return cmp.Compare(b.peak(), a.peak()) })
+	slices.SortStableFunc(levels, func(a, b LevelReport) int { return cmp.Compare(b.peakBurn(), a.peakBurn()) })
 	return levels[:min(len(levels), plotLevels)]
 }
 
-func (l *LevelReport) peak() float64 {
+func (l *LevelReport) peakBurn() float64 {
 	var peak float64
 	for _, p := range l.History {
 		peak = max(peak, p.Burn)
--- a/slo/report.go
+++ b/slo/report.go
@@ -11,13 +11,13 @@
 	"github.com/briarturn/briarturn/internal/table"
 )
 
-// Point is the burn rate of one slice of time.
+// Point is the burn rate of one cell of time.
 type Point struct {
-	At   time.Time `json:"at"` // its start
+	At   time.Time `json:"at"` // start of the cell
 	Burn float64   `json:"burn"`
 }
 
-// LevelReport is what the report says of one level.
+// LevelReport is the part of a Report for one level.
 type LevelReport struct {
 	Level
 	Result
@@ -26,14 +26,14 @@
 	History []Point       `json:"history"` // over the longest window
 }
 
-// Report is the burn of all levels at one time.
+// Report holds the burn rates of all levels at one time.
 type Report struct {
 	At      time.Time     `json:"at"`
 	Sources []string      `json:"sources"`
 	Levels  []LevelReport `json:"levels"`
 }
 
-// NewReport works out all levels. Errors match ErrInvalidLevel.
+// NewReport evaluates all levels. Errors match ErrInvalidLevel.
 func NewReport(levels []Level, snaps []Snapshot, now time.Time) (*Report, error) {
 	merged := Merge(snaps...)
 	rep := &Report{At: now, Sources: merged.Sources}
@@ -42,32 +42,32 @@
 		if err != nil {
 			return nil, errors.Trace(err)
 		}
-		lr := LevelReport{Level: l, Result: res, History: history(&l, merged, now)}
-		latency := latencyOf(&l, merged)
+		lr := LevelReport{Level: l, Result: res, History: burnHistory(&l, merged, now)}
+		latency := mergedLatency(&l, merged)
 		lr.P50, lr.P99 = latency.Quantile(0.5), latency.Quantile(0.99)
 		rep.Levels = append(rep.Levels, lr)
 	}
 	return rep, nil
 }
 
-func latencyOf(l *Level, snap Snapshot) *Histogram {
+func mergedLatency(l *Level, snap Snapshot) *Histogram {
 	h := NewHistogram()
 	for i := range snap.Series {
 		s := &snap.Series[i]
-		if l.covers(s.Key) && s.Latency != nil {
+		if l.matches(s.Key) && s.Latency != nil {
 			h.Merge(s.Latency)
 		}
 	}
 	return h
 }
 
-func history(l *Level, snap Snapshot, now time.Time) []Point {
-	windows := Windows(l.pairs())
+func burnHistory(l *Level, snap Snapshot, now time.Time) []Point {
+	windows := Windows(l.alertRules())
 	longest := windows[len(windows)-1]
-	width := widthOf(longest)
+	width := cellWidth(longest)
 	last := epochOf(now, width)
 	var sums [ringCells + 1]Cell
-	eachCell(l, []Snapshot{snap}, longest, func(c Cell) {
+	forEachCell(l, []Snapshot{snap}, longest, func(c Cell) {
 		if i := c.Epoch - (last - ringCells); i >= 0 && i <= ringCells {
 			sums[i].Good += c.Good
 			sums[i].Bad += c.Bad
@@ -76,16 +76,16 @@
 	out := make([]Point, len(sums))
 	for i, c := range sums {
 		at := time.Unix(0, (last-ringCells+int64(i))*int64(width)).UTC()
-		out[i] = Point{At: at, Burn: rate(c.Good, c.Bad, l.Target)}
+		out[i] = Point{At: at, Burn: burnRate(c.Good, c.Bad, l.Target)}
 	}
 	return out
 }
 
-// State returns the most urgent state of all levels.
+// State returns the most severe state of all levels.
 func (r *Report) State() State {
 	state := StateOK
 	for _, l := range r.Levels {
-		if l.State.rank() > state.rank() {
+		if l.State.severity() > state.severity() {
 			state = l.State
 		}
 	}
@@ -100,28 +100,28 @@
 	if len(classes) == 0 {
 		classes = []string{"all classes"}
 	}
-	space := l.Workspace
-	if space == "" {
-		space = "all workspaces"
+	workspace := l.Workspace
+	if workspace == "" {
+		workspace = "all workspaces"
 	}
-	return space + ", " + strings.Join(classes, " ")
+	return workspace + ", " + strings.Join(classes, " ")
 }
 
-// windowText prints each window's burn, with the counts behind it.
+// windowText formats the burn rate of each window with its counts.
 func (l *LevelReport) windowText() string {
 	var parts []string
 	for _, w := range l.Windows {
 		if w.Untracked {
-			parts = append(parts, short(w.Window)+" not tracked")
+			parts = append(parts, formatWindow(w.Window)+" not tracked")
 			continue
 		}
-		parts = append(parts, fmt.Sprintf("%s %.2f (%d/%d)", short(w.Window), w.Burn, w.Bad, w.Good+w.Bad))
+		parts = append(parts, fmt.Sprintf("%s %.2f (%d/%d)", formatWindow(w.Window), w.Burn, w.Bad, w.Good+w.Bad))
 	}
 	return strings.Join(parts, "  ")
 }
 
-// short prints 6h rather than 6h0m0s.
-func short(d time.Duration) string {
+// formatWindow formats a duration without zero units: 6h, not 6h0m0s.
+func formatWindow(d time.Duration) string {
 	s := d.String()
 	s = strings.TrimSuffix(s, "m0s")
 	if s != d.String() {
@@ -133,7 +133,7 @@
 	return s
 }
 
-// WriteTable prints one line a level.
+// WriteTable writes one line per level.
 func (r *Report) WriteTable(w io.Writer) error {
 	header := []string{"level", "scope", "objective", "target", "state", "burn by window (bad/all)", "p50", "p99"}
 	var rows [][]string
--- a/slo/ring.go
+++ b/slo/ring.go
@@ -5,63 +5,63 @@
 	"time"
 )
 
-// ringCells is how many cells a window is divided into. A ring has one more:
-// the one that is being filled.
+// ringCells is the number of cells that a window is divided into. A ring has one more for the
+// cell in progress.
 const ringCells = 30
 
-// cell counts the requests of one slice of time.
+// cell counts the requests of one interval of time.
 type cell struct {
 	good uint32
 	bad  uint32
 }
 
-// ring holds the counts of one window. Cells are aligned to absolute time, so
-// that rings of different processes add up cell by cell.
+// ring holds the counts of one window. Cells are aligned to absolute time, so that the rings of
+// different processes can be added cell by cell.
 type ring struct {
-	width time.Duration // of a cell
-	head  int64         // the newest epoch; cells hold head-ringCells..head
-	cells [ringCells + 1]cell
+	width  time.Duration // of a cell
+	newest int64         // newest epoch; cells hold newest-ringCells..newest
+	cells  [ringCells + 1]cell
 }
 
-// widthOf returns the width of a cell for a window.
-func widthOf(window time.Duration) time.Duration { return window / ringCells }
+// cellWidth returns the width of a cell of a window.
+func cellWidth(window time.Duration) time.Duration { return window / ringCells }
 
-// epochOf numbers the slice of time that t falls in.
+// epochOf returns the number of the cell that contains t, counted from the Unix epoch.
 func epochOf(t time.Time, width time.Duration) int64 {
 	return t.UnixNano() / int64(width)
 }
 
-func (r *ring) at(epoch int64) *cell { return &r.cells[epoch%int64(len(r.cells))] }
+func (r *ring) cellAt(epoch int64) *cell { return &r.cells[epoch%int64(len(r.cells))] }
 
-// add counts one request. One older than the ring is no longer of interest.
+// add counts one request. It ignores requests older than the ring.
 func (r *ring) add(good bool, now time.Time) {
 	epoch := epochOf(now, r.width)
 	r.advance(epoch)
-	if epoch < r.head-ringCells {
+	if epoch < r.newest-ringCells {
 		return
 	}
-	c := r.at(epoch)
+	c := r.cellAt(epoch)
 	if good {
-		c.good = increment(c.good)
+		c.good = saturatingIncrement(c.good)
 	} else {
-		c.bad = increment(c.bad)
+		c.bad = saturatingIncrement(c.bad)
 	}
 }
 
-// advance clears the cells between the newest epoch and a newer one. Without
-// it a cell would still hold the counts of one turn of the ring ago, and an
-// old outage would burn a second time.
+// advance clears the cells between the newest epoch and a later one. Otherwise a cell would
+// still hold the counts of the previous turn of the ring, and an old outage would be counted
+// again.
 func (r *ring) advance(epoch int64) {
-	if epoch <= r.head {
+	if epoch <= r.newest {
 		return
 	}
-	for e := max(r.head+1, epoch-ringCells); e <= epoch; e++ {
-		*r.at(e) = cell{}
+	for e := max(r.newest+1, epoch-ringCells); e <= epoch; e++ {
+		*r.cellAt(e) = cell{}
 	}
-	r.head = epoch
+	r.newest = epoch
 }
 
-func increment(n uint32) uint32 {
+func saturatingIncrement(n uint32) uint32 {
 	if n == math.MaxUint32 {
 		return n
 	}
--- a/slo/slo_test.go
+++ b/slo/slo_test.go
@@ -16,8 +16,8 @@
 
 var start = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 
-func key(space string) Key {
-	return Key{Workspace: space, Class: request.ClassShort, Objective: "ttft"}
+func key(workspace string) Key {
+	return Key{Workspace: workspace, Class: request.ClassShort, Objective: "ttft"}
 }
 
 func drawSnapshot(t *rapid.T, source string) Snapshot {
@@ -32,8 +32,8 @@
 	return tr.Snapshot(source, start)
 }
 
-// canonical is a snapshot's wire form: equal bytes mean equal counts.
-func canonical(t *rapid.T, s Snapshot) string {
+// encode returns a snapshot in its wire form; equal bytes mean equal counts.
+func encode(t *rapid.T, s Snapshot) string {
 	data, err := json.Marshal(s)
 	if err != nil {
 		t.Fatal(err)
@@ -44,13 +44,13 @@
 func TestMergeIsAssociativeAndCommutative(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawSnapshot(t, "e1"), drawSnapshot(t, "e2"), drawSnapshot(t, "e3")
-		want := canonical(t, Merge(a, b, c))
+		want := encode(t, Merge(a, b, c))
 		for name, got := range map[string]Snapshot{
 			"(ab)c": Merge(Merge(a, b), c),
 			"a(bc)": Merge(a, Merge(b, c)),
 			"cba":   Merge(c, b, a),
 		} {
-			if g := canonical(t, got); g != want {
+			if g := encode(t, got); g != want {
 				t.Fatalf("%s: %s", name, cmp.Diff(want, g))
 			}
 		}
@@ -58,16 +58,15 @@
 		if err := json.Unmarshal([]byte(want), &back); err != nil {
 			t.Fatal(err)
 		}
-		if got := canonical(t, back); got != want {
+		if got := encode(t, back); got != want {
 			t.Fatalf("wire: %s", cmp.Diff(want, got))
 		}
 	})
 }
 
-// Symptom: the merged p99 looks healthy while one entry serves its callers
-// badly. Sequence: 49 entries answer in 10 ms, one has 3% of its answers at
-// 30 s. Cause: averaging quantiles, or dropping what a dense histogram can't
-// hold, loses the slow ones; adding up counts doesn't.
+// 49 entries answer in 10 ms, and one has 3% of its answers at 30 s. Averaging quantiles, or
+// dropping values outside a dense histogram, would lose the slow answers and show a healthy
+// p99; adding up counts does not.
 func TestMergeKeepsTheTail(t *testing.T) {
 	var snaps []Snapshot
 	for e := range 50 {
@@ -96,8 +95,9 @@
 	}
 }
 
-// feed records requests/s for a time, the given one in n bad.
-func feed(tr *Tracker, from time.Time, seconds, oneIn int) time.Time {
+// recordTraffic records ten requests per second for a time and returns its end. One in oneIn
+// requests is bad; none if oneIn is 0.
+func recordTraffic(tr *Tracker, from time.Time, seconds, oneIn int) time.Time {
 	for s := range seconds {
 		for i := range 10 {
 			bad := oneIn > 0 && (s*10+i)%oneIn == 0
@@ -109,7 +109,7 @@
 
 var level = Level{Name: "notices", Workspace: "a", Objective: "ttft", Target: 0.99}
 
-func stateAt(t *testing.T, tr *Tracker, now time.Time) Result {
+func burnAt(t *testing.T, tr *Tracker, now time.Time) Result {
 	t.Helper()
 	res, err := Burn(level, []Snapshot{tr.Snapshot("e", now)}, now)
 	if err != nil {
@@ -118,41 +118,39 @@
 	return res
 }
 
-// Symptom: operators are paged for an outage that is over, or late for one
-// that goes on. Sequence: an hour of good work, then 20% bad (burn 20), then
-// good again. Cause: one window alone is either too slow or too nervous.
+// An hour of good requests, then 20% bad (burn rate 20), then good again. With a single window,
+// operators would be paged for an outage that is over, or late for one that continues.
 func TestBurnNeedsBothWindows(t *testing.T) {
 	tr := NewTracker(Config{})
-	now := feed(tr, start, 3600, 0)
-	if res := stateAt(t, tr, now); res.State != StateOK {
-		t.Fatalf("all good: %+v", res)
+	now := recordTraffic(tr, start, 3600, 0)
+	if res := burnAt(t, tr, now); res.State != StateOK {
+		t.Fatalf("after an hour without errors: %+v", res)
 	}
-	now = feed(tr, now, 270, 5)
-	if res := stateAt(t, tr, now); res.at(5*time.Minute) < 14.4 || res.State != StateOK {
-		t.Errorf("four and a half minutes of outage: %+v", res)
+	now = recordTraffic(tr, now, 270, 5)
+	if res := burnAt(t, tr, now); res.burnOver(5*time.Minute) < 14.4 || res.State != StateOK {
+		t.Errorf("after four and a half minutes of outage: %+v", res)
 	}
-	now = feed(tr, now, 3600-270, 5)
-	res := stateAt(t, tr, now)
-	if res.State != StatePage || res.at(time.Hour) < 18 || res.at(time.Hour) > 20.1 {
-		t.Errorf("an hour of outage: %+v", res)
+	now = recordTraffic(tr, now, 3600-270, 5)
+	res := burnAt(t, tr, now)
+	if res.State != StatePage || res.burnOver(time.Hour) < 18 || res.burnOver(time.Hour) > 20.1 {
+		t.Errorf("after an hour of outage: %+v", res)
 	}
-	now = feed(tr, now, 360, 0)
-	res = stateAt(t, tr, now)
-	if res.at(5*time.Minute) != 0 || res.at(time.Hour) < 14.4 || res.State != StateWarning {
-		t.Errorf("six minutes after it: %+v", res)
+	now = recordTraffic(tr, now, 360, 0)
+	res = burnAt(t, tr, now)
+	if res.burnOver(5*time.Minute) != 0 || res.burnOver(time.Hour) < 14.4 || res.State != StateWarning {
+		t.Errorf("six minutes after the outage: %+v", res)
 	}
 }
 
-// Symptom: an old outage burns again. Sequence: an outage, then silence for
-// exactly one turn of the ring, then one request. Cause: a cell of the ring
-// that was not cleared when its slot was used anew.
-func TestOldCellsDoNotComeBack(t *testing.T) {
+// An outage is followed by exactly one turn of the ring without requests and then one request.
+// A cell that is not cleared when its slot is reused would count the old outage again.
+func TestExpiredCellsAreCleared(t *testing.T) {
 	tr := NewTracker(Config{})
-	feed(tr, start, 10, 1)
+	recordTraffic(tr, start, 10, 1)
 	for _, w := range Windows(DefaultAlertRules()) {
-		now := start.Add(widthOf(w) * (ringCells + 1))
+		now := start.Add(cellWidth(w) * (ringCells + 1))
 		tr.Record(key("a"), true, 0, now)
-		for _, b := range stateAt(t, tr, now).Windows {
+		for _, b := range burnAt(t, tr, now).Windows {
 			if b.Window == w && b.Bad != 0 {
 				t.Errorf("window %v: %d bad", w, b.Bad)
 			}
@@ -160,13 +158,12 @@
 	}
 }
 
-// Symptom: a level reads as ok through an outage. Sequence: the level asks for
-// a window that an entry keeps no counts for. Cause: no counts read as no
-// failures.
+// A level uses a window for which an entry keeps no counts. If missing counts read as no
+// failures, the level would be ok during an outage.
 func TestUntrackedWindowIsNotOK(t *testing.T) {
 	tr := NewTracker(Config{Windows: []time.Duration{5 * time.Minute, time.Hour}})
-	now := feed(tr, start, 60, 1)
-	byDefault := stateAt(t, tr, now)
+	now := recordTraffic(tr, start, 60, 1)
+	byDefault := burnAt(t, tr, now)
 	for i, want := range []bool{false, true, false, true} { // 5m, 30m, 1h, 6h
 		if byDefault.State != StatePage || byDefault.Windows[i].Untracked != want {
 			t.Errorf("default pairs: %+v", byDefault)
@@ -199,10 +196,10 @@
 	}
 }
 
-// Symptom: an outage leaves the burn at 0. Sequence: requests fail before a
-// first token, so they have no latency to miss a target with. Cause under test:
-// a failure has to count as bad by itself, and stay out of the distribution.
-func TestObserveJudgesByThePromise(t *testing.T) {
+// Requests that fail before the first token have no latency to compare with a target. Each
+// failure must count as bad on its own and stay out of the latency distribution; otherwise an
+// outage would leave the burn rate at 0.
+func TestObserveComparesWithLatencyTargets(t *testing.T) {
 	promises := []LatencyTarget{
 		{Name: "p", Workspace: "a", TTFT: time.Second, InterToken: 50 * time.Millisecond},
 		{Name: "other", Workspace: "b", TTFT: time.Second},
@@ -230,7 +227,7 @@
 	}
 }
 
-func TestHistogramRefusesOtherGeometry(t *testing.T) {
+func TestHistogramRejectsOtherGeometry(t *testing.T) {
 	for _, text := range []string{"", "garbage", "HISTFAAAAA"} {
 		if err := NewHistogram().UnmarshalText([]byte(text)); !errors.Is(err, ErrInvalidHistogram) {
 			t.Errorf("%q: %v", text, err)
@@ -240,7 +237,7 @@
 
 func TestReport(t *testing.T) {
 	tr := NewTracker(Config{})
-	now := feed(tr, start, 3600, 5)
+	now := recordTraffic(tr, start, 3600, 5)
 	rep, err := NewReport([]Level{level}, []Snapshot{tr.Snapshot("e", now)}, now)
 	if err != nil || rep.State() != StatePage {
 		t.Fatalf("%+v, %v", rep, err)
@@ -257,8 +254,8 @@
 	}
 }
 
-// BenchmarkTrackerBytes reports the memory of one series in steady use, and
-// its size on the wire.
+// BenchmarkTrackerBytes reports the memory of one series in steady use and its size on the
+// wire.
 func BenchmarkTrackerBytes(b *testing.B) {
 	var bytesHeld, wire int
 	for b.Loop() {
--- a/slo/snapshot.go
+++ b/slo/snapshot.go
@@ -7,10 +7,9 @@
 	"time"
 )
 
-// Cell counts the requests of one slice of time. Its JSON form is
-// [epoch, good, bad].
+// Cell counts the requests of one interval of time. Its JSON form is [epoch, good, bad].
 type Cell struct {
-	Epoch int64 // number of the slice since the Unix epoch
+	Epoch int64 // number of the interval since the Unix epoch
 	Good  uint64
 	Bad   uint64
 }
@@ -30,32 +29,31 @@
 	return nil
 }
 
-// Counts holds the cells of one window, oldest first, empty ones left out.
+// Counts holds the non-empty cells of one window, oldest first.
 type Counts struct {
 	Width time.Duration `json:"width_ns"`
 	Cells []Cell        `json:"cells"`
 }
 
-// Series holds what is known of one key.
+// Series holds the counts and the latencies of one key.
 type Series struct {
 	Key
-	Counts  []Counts   `json:"counts"` // by rising width
+	Counts  []Counts   `json:"counts"` // by ascending width
 	Latency *Histogram `json:"latency"`
 }
 
-// Snapshot is the state of one tracker, or of several merged.
+// Snapshot is the state of one tracker, or of several merged ones.
 type Snapshot struct {
 	Sources []string  `json:"sources"` // sorted
-	At      time.Time `json:"at"`      // of the newest
-	Series  []Series  `json:"series"`  // by key
+	At      time.Time `json:"at"`      // time of the newest snapshot merged
+	Series  []Series  `json:"series"`  // sorted by key
 }
 
-// Merge adds snapshots up. It is associative and commutative, and it shares no
-// memory with its arguments. Two snapshots of one process count twice: the
-// caller asks each process once.
+// Merge adds up snapshots. It is associative and commutative and shares no memory with its
+// arguments. It doesn't detect duplicates: the caller must include each process only once.
 func Merge(snaps ...Snapshot) Snapshot {
 	var out Snapshot
-	byKey := make(map[Key]*merged)
+	byKey := make(map[Key]*mergedSeries)
 	for _, s := range snaps {
 		out.Sources = append(out.Sources, s.Sources...)
 		if s.At.After(out.At) {
@@ -73,29 +71,29 @@
 	return out
 }
 
-type slot struct {
+type cellKey struct {
 	width time.Duration
 	epoch int64
 }
 
-// merged is a series while it is added up. widths has an entry for each
-// window that is tracked at all, also where no request fell into it.
-type merged struct {
-	cells   map[slot]Cell
+// mergedSeries is a series while it is being merged. widths has an element for each tracked
+// window, including those without requests.
+type mergedSeries struct {
+	cells   map[cellKey]Cell
 	widths  map[time.Duration][]Cell
 	latency *Histogram
 }
 
-func addSeries(byKey map[Key]*merged, s *Series) {
+func addSeries(byKey map[Key]*mergedSeries, s *Series) {
 	m := byKey[s.Key]
 	if m == nil {
-		m = &merged{cells: make(map[slot]Cell), widths: make(map[time.Duration][]Cell), latency: NewHistogram()}
+		m = &mergedSeries{cells: make(map[cellKey]Cell), widths: make(map[time.Duration][]Cell), latency: NewHistogram()}
 		byKey[s.Key] = m
 	}
 	for _, counts := range s.Counts {
 		m.widths[counts.Width] = nil
 		for _, c := range counts.Cells {
-			at := slot{width: counts.Width, epoch: c.Epoch}
+			at := cellKey{width: counts.Width, epoch: c.Epoch}
 			sum := m.cells[at]
 			m.cells[at] = Cell{Epoch: c.Epoch, Good: sum.Good + c.Good, Bad: sum.Bad + c.Bad}
 		}
@@ -105,7 +103,7 @@
 	}
 }
 
-func (m *merged) export(k Key) Series {
+func (m *mergedSeries) export(k Key) Series {
 	for at, c := range m.cells {
 		m.widths[at.width] = append(m.widths[at.width], c)
 	}
--- a/slo/target.go
+++ b/slo/target.go
@@ -6,31 +6,30 @@
 	"github.com/briarturn/briarturn/request"
 )
 
-// LatencyTarget is a declared service level as a process judges requests by it.
+// LatencyTarget holds the latency targets of a declared service level, for checking requests.
 type LatencyTarget struct {
 	Name       string // of the ServiceLevel
 	Workspace  string
 	Class      request.Class
-	TTFT       time.Duration // target; 0 is none
-	InterToken time.Duration // target of the mean gap between tokens; 0 is none
+	TTFT       time.Duration // target; 0: none
+	InterToken time.Duration // target of the mean time between tokens; 0: none
 }
 
-// Observation is what became of one request. A request that the system failed
-// misses every target; one that was refused for the caller's own fault should
-// not be observed at all.
+// Observation is the outcome of one request. A failure of the system counts as bad for every
+// target. A request that was rejected because of an error of the caller must not be observed.
 type Observation struct {
 	Workspace  string
 	Class      request.Class
 	Failed     bool
 	TTFT       time.Duration
-	InterToken time.Duration // mean gap; negative if there was none
+	InterToken time.Duration // mean time between tokens; negative: none
 }
 
-// Observe counts a request under each promise that concerns it, for each
-// measure that has a target, under the names that ObjectiveName gives.
-func (t *Tracker) Observe(promises []LatencyTarget, o Observation, now time.Time) {
-	for i := range promises {
-		p := &promises[i]
+// Observe counts a request for each matching target and each measure with a limit, under the
+// objective that ObjectiveName returns.
+func (t *Tracker) Observe(targets []LatencyTarget, o Observation, now time.Time) {
+	for i := range targets {
+		p := &targets[i]
 		if p.Workspace != o.Workspace || p.Class != o.Class {
 			continue
 		}
@@ -44,7 +43,7 @@
 		return
 	}
 	if failed {
-		value = -1 // it has no latency to go into the distribution
+		value = -1 // excluded from the latency distribution
 	}
 	k := Key{Workspace: p.Workspace, Class: p.Class, Objective: ObjectiveName(p.Name, measure)}
 	t.Record(k, !failed && value <= target, value, now)
--- a/slo/tracker.go
+++ b/slo/tracker.go
@@ -11,7 +11,7 @@
 
 const defaultMaxSeries = 8192
 
-// Key names what a request is counted under.
+// Key identifies a series of counts.
 type Key struct {
 	Workspace string        `json:"workspace"`
 	Class     request.Class `json:"class"`
@@ -30,30 +30,30 @@
 
 // Config configures a Tracker. The zero value is usable.
 type Config struct {
-	// Windows to keep counts for; those of DefaultAlertRules if empty. Each must be
-	// at least a second.
+	// Windows are the windows to keep counts for; those of DefaultAlertRules if empty. Windows
+	// shorter than a second are extended to a second.
 	Windows []time.Duration
-	// MaxSeries bounds the keys; 8192 if zero.
+	// MaxSeries is the maximum number of keys; 8192 if zero.
 	MaxSeries int
 }
 
-// Tracker counts requests. It is safe for concurrent use.
+// Tracker counts requests per key. It is safe for concurrent use.
 type Tracker struct {
 	windows   []time.Duration // ascending
 	maxSeries int
 
-	mu      sync.Mutex // guards series and refused
-	series  map[Key]*series
-	refused int64
+	mu        sync.Mutex // guards series and uncounted
+	series    map[Key]*series
+	uncounted int64
 }
 
 type series struct {
-	rings   []ring
-	latency *Histogram
-	last    time.Time
+	rings        []ring
+	latency      *Histogram
+	lastRecorded time.Time
 }
 
-// NewTracker returns an empty tracker.
+// NewTracker returns an empty Tracker.
 func NewTracker(c Config) *Tracker {
 	windows := slices.Clone(c.Windows)
 	if len(windows) == 0 {
@@ -71,14 +71,14 @@
 	return t
 }
 
-// Record counts one request that ended at now. A negative latency is left out
-// of the distribution; a request that failed has none.
+// Record counts one request that ended at now. A negative latency is excluded from the
+// distribution, as for a request that failed.
 func (t *Tracker) Record(k Key, good bool, latency time.Duration, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.find(k, now)
+	s := t.findOrCreate(k, now)
 	if s == nil {
-		t.refused++
+		t.uncounted++
 		return
 	}
 	for i := range s.rings {
@@ -87,13 +87,13 @@
 	if latency >= 0 {
 		s.latency.Record(latency)
 	}
-	if now.After(s.last) {
-		s.last = now
+	if now.After(s.lastRecorded) {
+		s.lastRecorded = now
 	}
 }
 
-// find returns the series of a key, or nil where there is no room.
-func (t *Tracker) find(k Key, now time.Time) *series {
+// findOrCreate returns the series of a key, or nil if MaxSeries is reached.
+func (t *Tracker) findOrCreate(k Key, now time.Time) *series {
 	if s, ok := t.series[k]; ok {
 		return s
 	}
@@ -103,33 +103,34 @@
 	if len(t.series) >= t.maxSeries {
 		return nil
 	}
-	s := &series{rings: make([]ring, len(t.windows)), latency: NewHistogram(), last: now}
+	s := &series{rings: make([]ring, len(t.windows)), latency: NewHistogram(), lastRecorded: now}
 	for i, w := range t.windows {
-		s.rings[i].width = widthOf(w)
-		s.rings[i].head = epochOf(now, widthOf(w))
+		s.rings[i].width = cellWidth(w)
+		s.rings[i].newest = epochOf(now, cellWidth(w))
 	}
 	t.series[k] = s
 	return s
 }
 
-// dropIdle forgets the series that have nothing left in any window.
+// dropIdle removes the series without requests in any window.
 func (t *Tracker) dropIdle(now time.Time) {
 	longest := t.windows[len(t.windows)-1]
 	for k, s := range t.series {
-		if now.Sub(s.last) > longest+widthOf(longest) {
+		if now.Sub(s.lastRecorded) > longest+cellWidth(longest) {
 			delete(t.series, k)
 		}
 	}
 }
 
-// Uncounted returns how many requests were not counted for want of room.
+// Uncounted returns the number of requests that were not counted because MaxSeries was
+// reached.
 func (t *Tracker) Uncounted() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.refused
+	return t.uncounted
 }
 
-// Snapshot returns a copy of all counts; source names the process.
+// Snapshot returns a copy of all counts; source is the name of the process.
 func (t *Tracker) Snapshot(source string, now time.Time) Snapshot {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -151,11 +152,11 @@
 
 func (r *ring) export() Counts {
 	out := Counts{Width: r.width}
-	for e := r.head - ringCells; e <= r.head; e++ {
+	for e := r.newest - ringCells; e <= r.newest; e++ {
 		if e < 0 {
 			continue
 		}
-		if c := r.at(e); *c != (cell{}) {
+		if c := r.cellAt(e); *c != (cell{}) {
 			out.Cells = append(out.Cells, Cell{Epoch: e, Good: uint64(c.good), Bad: uint64(c.bad)})
 		}
 	}
