--- a/entry/choose.go
+++ b/entry/choose.go
@@ -35,7 +35,7 @@
 		MaxTokens:    output,
 		Prefix:       c.spec.PrefixHashes,
 		ShortShare:   c.shortShare,
-		RequireIdle:  c.alone,
+		PreferIdle:   c.alone,
 		Exclude:      c.exclude,
 		Now:          now,
 		Deadline:     c.spec.Deadline,
--- a/routing/filter.go
+++ b/routing/filter.go
@@ -12,7 +12,7 @@
 
 const (
 	tierFit     tier = iota // can take the request now
-	tierWait                // lacks free memory, has another role, or isn't idle though the query requires it
+	tierWait                // lacks free memory, has another role, or isn't idle though the query prefers it
 	tierSuspect             // hasn't reported for too long
 	tierUnfit               // can't serve the request
 )
@@ -25,7 +25,7 @@
 	if row.State == backend.StateSuspect {
 		return tierSuspect
 	}
-	if !fitsNow(q, row) || !acceptsWholeRequests(row) || (q.RequireIdle && !isIdle(row)) {
+	if !fitsNow(q, row) || !acceptsWholeRequests(row) || (q.PreferIdle && !isIdle(row)) {
 		return tierWait
 	}
 	return tierFit
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -24,11 +24,11 @@
 	Prefix       []uint64
 	// ShortShare is the fraction of the pool that long prompts avoid in favor of shorter
 	// ones where possible. Zero means a quarter, negative none.
-	ShortShare  float64
-	RequireIdle bool     // prefer an idle server, for a prompt suspected of crashing engines
-	Exclude     []string // names of servers already tried
-	Now         time.Time
-	Deadline    time.Time
+	ShortShare float64
+	PreferIdle bool     // prefer an idle server, for a prompt suspected of crashing engines
+	Exclude    []string // names of servers already tried
+	Now        time.Time
+	Deadline   time.Time
 }
 
 // Choice is one ranked candidate. It is a copy, because the table may change afterwards.
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -83,8 +83,8 @@
 		{"fits later", func(_ *Query, r *backend.Row) { r.Load.Held = 399_500 }, tierWait},
 		{"suspect", func(_ *Query, r *backend.Row) { r.State = backend.StateSuspect }, tierSuspect},
 		{"other role", func(_ *Query, r *backend.Row) { r.Role = backend.RolePrefill }, tierWait},
-		{"alone, busy", func(q *Query, r *backend.Row) { q.RequireIdle, r.OwnRunning = true, 1 }, tierWait},
-		{"alone, idle", func(q *Query, _ *backend.Row) { q.RequireIdle = true }, tierFit},
+		{"alone, busy", func(q *Query, r *backend.Row) { q.PreferIdle, r.OwnRunning = true, 1 }, tierWait},
+		{"alone, idle", func(q *Query, _ *backend.Row) { q.PreferIdle = true }, tierFit},
 	} {
 		q, row := newQuery(1_000), idleRow("a")
 		c.change(q, &row)
--- a/slo/burn.go
+++ b/slo/burn.go
@@ -158,6 +158,8 @@
 	return out
 }
 
+// isUntracked reports whether some snapshot has a series of the level without counts for the
+// window.
 func isUntracked(level *Level, snaps []Snapshot, window time.Duration) bool {
 	for _, s := range snaps {
 		for i := range s.Series {
@@ -170,7 +172,7 @@
 	return false
 }
 
-// forEachCell calls fn for each cell of a window that the level covers.
+// forEachCell calls fn for each cell of a window in the series that the level matches.
 func forEachCell(level *Level, snaps []Snapshot, window time.Duration, fn func(Cell)) {
 	for _, s := range snaps {
 		for i := range s.Series {
