--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -12,68 +12,68 @@
 	"github.com/briarturn/briarturn/upstream"
 )
 
-// answer is a server's whole answer.
-type answer struct {
+// bufferedResponse is a server's complete response, held in memory.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// passAnswer reads an answer that is no stream of events. One that breaks off, or
-// says that the server failed, may be replaced by another server's.
-func (e *exchange) passAnswer(ctx context.Context, r *upstream.Response) (step, Reason) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, answerBuffer+1))
+// relayResponse relays a response that is not an event stream. If it breaks off or
+// reports an error of the server, another server may be tried.
+func (e *exchange) relayResponse(ctx context.Context, r *upstream.Response) (nextStep, Reason) {
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBufferedResponse+1))
 	if err != nil {
-		e.logAnswer(r.Status, "answer broke")
-		return e.after(request.AttemptOutcome{Sent: true, Deadline: timeUp(ctx)})
+		e.logFailedResponse(r.Status, "answer broke")
+		return e.decideNext(request.AttemptOutcome{Sent: true, Deadline: requestEnded(ctx)})
 	}
-	a := &answer{status: r.Status, header: r.Header, body: body}
-	if len(body) > answerBuffer {
-		return e.passLong(a, r)
+	a := &bufferedResponse{status: r.Status, header: r.Header, body: body}
+	if len(body) > maxBufferedResponse {
+		return e.relayLongResponse(a, r)
 	}
-	if isRetriable(r.Status) && e.route.Repeatable() {
-		e.held = a
-		e.logAnswer(r.Status, "server failed")
-		return e.after(request.AttemptOutcome{Sent: true, Deadline: timeUp(ctx)})
+	if isRetryable(r.Status) && e.route.Repeatable() {
+		e.lastFailure = a
+		e.logFailedResponse(r.Status, "server failed")
+		return e.decideNext(request.AttemptOutcome{Sent: true, Deadline: requestEnded(ctx)})
 	}
-	a.deliver(e)
-	return stop, ""
+	a.writeTo(e)
+	return stepDone, ""
 }
 
-// deliver gives the caller the answer.
-func (a *answer) deliver(e *exchange) {
-	e.head(a.status, a.header, int64(len(a.body)))
+// writeTo sends the response to the caller.
+func (a *bufferedResponse) writeTo(e *exchange) {
+	e.writeHead(a.status, a.header, int64(len(a.body)))
 	if _, err := e.writer.Write(a.body); err != nil {
-		e.outcome = outcomeGone
+		e.outcome = outcomeCallerGone
 		return
 	}
 	e.outcome = outcomeAnswered
 }
 
-// passLong passes on an answer that is too long to be held. From its head on, a
-// break ends the caller's connection.
-func (e *exchange) passLong(a *answer, r *upstream.Response) (step, Reason) {
-	e.head(a.status, a.header, r.ContentLength)
+// relayLongResponse relays a response that is too long to buffer. Once its head is sent,
+// a break aborts the caller's connection.
+func (e *exchange) relayLongResponse(a *bufferedResponse, r *upstream.Response) (nextStep, Reason) {
+	e.writeHead(a.status, a.header, r.ContentLength)
 	if _, err := e.writer.Write(a.body); err != nil {
-		e.outcome = outcomeGone
-		return stop, ""
+		e.outcome = outcomeCallerGone
+		return stepDone, ""
 	}
 	if _, err := io.Copy(e.writer, r.Body); err != nil {
-		e.breakOff()
+		e.abortResponse()
 	}
 	e.outcome = outcomeAnswered
-	return stop, ""
+	return stepDone, ""
 }
 
-// head sends the head of a server's answer. length is -1 for a body whose end is
-// not known before.
-func (e *exchange) head(status int, from http.Header, length int64) {
+// writeHead sends the head of a server's response. length is -1 for a body of unknown
+// length.
+func (e *exchange) writeHead(status int, from http.Header, length int64) {
 	to := e.writer.Header()
-	for name, values := range endToEnd(from) {
+	for name, values := range endToEndHeaders(from) {
 		to[name] = values
 	}
 	if _, ok := from["Content-Type"]; !ok {
-		to["Content-Type"] = nil // or net/http would guess one
+		to["Content-Type"] = nil // stops net/http from guessing one
 	}
 	if _, ok := from["Date"]; !ok {
 		to["Date"] = nil
@@ -83,12 +83,12 @@
 		to.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
 	e.status = status
-	e.firstOut = time.Now()
-	e.gateway.tally.latency.Update(e.firstOut.Sub(e.begun).Milliseconds())
+	e.firstByteAt = time.Now()
+	e.gateway.counters.firstByteLatency.Update(e.firstByteAt.Sub(e.startedAt).Milliseconds())
 	e.writer.WriteHeader(status)
 }
 
-// splitList splits a header's comma-separated values.
+// splitList splits the comma-separated values of a header.
 func splitList(value string) []string {
 	parts := strings.Split(value, ",")
 	for i := range parts {
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -16,61 +16,62 @@
 	"github.com/briarturn/briarturn/upstream"
 )
 
-// attempt sends the request to one server and, if there is one, passes its answer
-// on.
-func (e *exchange) attempt(ctx context.Context) (step, Reason) {
-	run, ok := e.placeWithMemory(ctx)
+// attempt places the request, sends it to the chosen server and, if there is a response,
+// relays it.
+func (e *exchange) attempt(ctx context.Context) (nextStep, Reason) {
+	attempt, ok := e.placeAndReserve(ctx)
 	if !ok {
-		return finish, e.noServer()
+		return stepFail, e.noServerReason()
 	}
-	defer run.end()
-	if reason := e.judgeAgain(); reason != "" {
-		return finish, reason
+	defer attempt.release()
+	if reason := e.reauthorize(); reason != "" {
+		return stepFail, reason
 	}
-	e.tried[run.Server.Instance] = true
-	e.server = run.Server.Address
-	e.placed = run.Placement
+	e.triedInstances[attempt.Server.Instance] = true
+	e.serverAddress = attempt.Server.Address
+	e.placement = attempt.Placement
 	e.placedAt = time.Now()
-	e.gateway.tally.attempts.Inc(1)
-	bounded, cancel := run.context(ctx)
+	e.gateway.counters.attempts.Inc(1)
+	attemptCtx, cancel := attempt.context(ctx)
 	defer cancel()
-	next, reason := e.exchangeWith(bounded, run)
-	if notBegun(bounded) {
-		e.givenUp(run)
+	next, reason := e.sendAndRelay(attemptCtx, attempt)
+	if neverStarted(attemptCtx) {
+		e.recordNeverStarted(attempt)
 	}
 	return next, reason
 }
 
-// exchangeWith sends the request to the server of a run and, if there is one, passes
-// its answer on.
-func (e *exchange) exchangeWith(ctx context.Context, run *run) (step, Reason) {
-	response, err := e.send(ctx, run)
+// sendAndRelay sends the request to the server of an attempt and, if there is a response,
+// relays it.
+func (e *exchange) sendAndRelay(ctx context.Context, attempt *placedAttempt) (nextStep, Reason) {
+	response, err := e.send(ctx, attempt)
 	if err != nil {
-		return e.unanswered(ctx, run, err)
+		return e.handleNoResponse(ctx, attempt, err)
 	}
 	defer response.Close()
-	return e.answered(ctx, run, response)
+	return e.handleResponse(ctx, attempt, response)
 }
 
-// givenUp follows a run that was ended because it had not begun. Its server counts as
-// one that refuses: what is placed there next would wait like this one.
-func (e *exchange) givenUp(run *run) {
-	run.Refused("")
-	e.gateway.tally.givenUp.Inc(1)
+// recordNeverStarted records an attempt that was ended because it had not begun. Its
+// server counts as one that refused: the next request placed there would wait in the same
+// way.
+func (e *exchange) recordNeverStarted(attempt *placedAttempt) {
+	attempt.Refused("")
+	e.gateway.counters.neverStarted.Inc(1)
 	e.gateway.cfg.Log.WithFields(logrus.Fields{
-		"request": e.env.ID, "server": e.server, "waited_ms": time.Since(e.placedAt).Milliseconds(),
-		"forecast_ms": run.Forecast.Milliseconds(),
+		"request": e.info.ID, "server": e.serverAddress, "waited_ms": time.Since(e.placedAt).Milliseconds(),
+		"forecast_ms": attempt.Forecast.Milliseconds(),
 	}).Info("attempt given up, not begun")
 }
 
-func (e *exchange) noServer() Reason {
-	if e.mayRun {
+func (e *exchange) noServerReason() Reason {
+	if e.mayHaveRun {
 		return ReasonOutcomeUnknown
 	}
-	if e.tooLate > 0 {
+	if e.lateForecast > 0 {
 		return ReasonDeadlineUnmeetable
 	}
-	if reason := reasonOf(e.keptOut); reason != "" {
+	if reason := reasonFor(e.exclusionCause); reason != "" {
 		return reason
 	}
 	if e.sends > 0 {
@@ -79,120 +80,122 @@
 	return ReasonNoServer
 }
 
-func (e *exchange) query() placement.Query {
+func (e *exchange) placementQuery() placement.Query {
 	return placement.Query{
 		Engine:              e.service.Engine,
-		InputTokens:         e.env.Prompt.InputTokens,
-		MaxOutputTokens:     e.env.Prompt.MaxOutputTokens,
-		FirstTokenObjective: e.route.Objective - time.Since(e.begun),
+		InputTokens:         e.info.Prompt.InputTokens,
+		MaxOutputTokens:     e.info.Prompt.MaxOutputTokens,
+		FirstTokenObjective: e.route.Objective - time.Since(e.startedAt),
 		PauseObjective:      e.route.PauseObjective,
-		TimeLeft:            time.Until(e.end),
-		Waited:              time.Since(e.begun),
-		Priority:            e.rank(),
+		TimeLeft:            time.Until(e.deadline),
+		Waited:              time.Since(e.startedAt),
+		Priority:            e.priority(),
 		Stream:              e.route.Kind == routetable.Stream,
 	}
 }
 
-// rank is that of the request: its workspace's goes before its route's.
-func (e *exchange) rank() int {
+// priority returns the priority of the request. The workspace's priority overrides the
+// route's.
+func (e *exchange) priority() int {
 	if e.workspace != nil && e.workspace.HasPriority {
 		return e.workspace.Priority
 	}
 	return e.route.Priority
 }
 
-func (e *exchange) send(ctx context.Context, run *run) (*upstream.Response, error) {
-	header := endToEnd(e.incoming.Header)
+func (e *exchange) send(ctx context.Context, attempt *placedAttempt) (*upstream.Response, error) {
+	header := endToEndHeaders(e.incoming.Header)
 	a := AttemptInfo{
-		Timeout:       time.Until(e.end),
-		Instance:      run.Server.Instance,
-		LastEventID:   e.env.LastEventID,
-		QueuePriority: run.QueuePriority,
+		Timeout:       time.Until(e.deadline),
+		Instance:      attempt.Server.Instance,
+		LastEventID:   e.info.LastEventID,
+		QueuePriority: attempt.QueuePriority,
 	}
 	if e.workspace != nil {
 		a.Workspace = e.workspace.Name
 	}
-	if e.stream != nil && e.stream.lastID != "" {
-		a.LastEventID = e.stream.lastID
+	if e.stream != nil && e.stream.lastEventID != "" {
+		a.LastEventID = e.stream.lastEventID
 	}
-	a.Helpers = helpersOf(run.Placement, run.memory)
+	a.Helpers = helpersOf(attempt.Placement, attempt.reservation)
 	e.gateway.cfg.Protocol.EncodeAttempt(header, a)
-	return e.gateway.cfg.Pool.Do(ctx, run.Server.Address, &upstream.Request{
+	return e.gateway.cfg.Pool.Do(ctx, attempt.Server.Address, &upstream.Request{
 		Method:          e.incoming.Method,
-		Target:          target(e.incoming),
+		Target:          requestTarget(e.incoming),
 		Host:            e.incoming.Host,
 		Header:          header,
 		Body:            e.body,
-		MatchesResponse: e.mine,
+		MatchesResponse: e.matchesResponse,
 	})
 }
 
-// target is the path and query as the caller wrote them.
-func target(r *http.Request) string {
+// requestTarget returns the path and query as the caller wrote them.
+func requestTarget(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
 	}
 	return r.URL.RequestURI()
 }
 
-// mine reports whether an answer is to this request. One without an id can only
-// be a refusal made before the server had read the head.
-func (e *exchange) mine(status int, h http.Header) bool {
+// matchesResponse reports whether a response belongs to this request. One without an ID
+// can only be a refusal made before the server had read the head.
+func (e *exchange) matchesResponse(status int, h http.Header) bool {
 	v := e.gateway.cfg.Protocol.DecodeResponse(status, h)
-	return v.ID == e.env.ID || v.ID == "" && v.NotRun
+	return v.ID == e.info.ID || v.ID == "" && v.NotRun
 }
 
-// unanswered follows an attempt that got no head of an answer.
-func (e *exchange) unanswered(ctx context.Context, run *run, err error) (step, Reason) {
+// handleNoResponse handles an attempt that got no response head.
+func (e *exchange) handleNoResponse(ctx context.Context, attempt *placedAttempt, err error) (nextStep, Reason) {
 	sent := !errors.Is(err, upstream.ErrNotSent)
 	if sent {
 		e.sends++
 	} else {
-		e.dials++
-		run.Refused("")
+		e.connectFailures++
+		attempt.Refused("")
 	}
 	if ctx.Err() == nil {
-		e.gateway.cfg.Log.WithError(err).WithField("request", e.env.ID).Info("attempt failed")
+		e.gateway.cfg.Log.WithError(err).WithField("request", e.info.ID).Info("attempt failed")
 	}
 	if sent {
-		e.suspect(ctx, run.Placement)
+		e.recordDeath(ctx, attempt.Placement)
 	}
-	return e.after(request.AttemptOutcome{Sent: sent, Deadline: timeUp(ctx)})
+	return e.decideNext(request.AttemptOutcome{Sent: sent, Deadline: requestEnded(ctx)})
 }
 
-// answered follows the head of an answer.
-func (e *exchange) answered(ctx context.Context, run *run, r *upstream.Response) (step, Reason) {
+// handleResponse handles the head of a response.
+func (e *exchange) handleResponse(ctx context.Context, attempt *placedAttempt, r *upstream.Response) (nextStep, Reason) {
 	e.sends++
 	v := e.gateway.cfg.Protocol.DecodeResponse(r.Status, r.Header)
 	if v.NotRun {
-		run.Refused(v.AtFault)
+		attempt.Refused(v.AtFault)
 		e.logRefused(r.Status, v.AtFault)
-		return e.after(request.AttemptOutcome{Refused: true, Sent: true})
+		return e.decideNext(request.AttemptOutcome{Refused: true, Sent: true})
 	}
-	if e.stream != nil && r.Status == http.StatusOK && isEvents(r.Header) {
-		return e.passStream(ctx, run, r)
+	if e.stream != nil && r.Status == http.StatusOK && isEventStream(r.Header) {
+		return e.relayStream(ctx, attempt, r)
 	}
-	if e.stream != nil && e.stream.started {
-		// The head is out; a failure to go on can't be passed on.
-		return e.after(request.AttemptOutcome{Sent: true, Deadline: timeUp(ctx)})
+	if e.stream != nil && e.stream.headSent {
+		// The caller already has a response head, so a failure to resume can't be
+		// relayed.
+		return e.decideNext(request.AttemptOutcome{Sent: true, Deadline: requestEnded(ctx)})
 	}
-	return e.passAnswer(ctx, r)
+	return e.relayResponse(ctx, r)
 }
 
-// isEvents reports whether a body is a series of events.
-func isEvents(h http.Header) bool {
+// isEventStream reports whether a body is a stream of server-sent events.
+func isEventStream(h http.Header) bool {
 	media, _, _ := strings.Cut(h.Get("Content-Type"), ";")
 	return strings.EqualFold(strings.TrimSpace(media), "text/event-stream")
 }
 
-// hopByHop lists the headers that concern one connection only.
+// hopByHop lists the headers that apply to one connection only.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// endToEnd returns a copy of a header without what concerns one connection.
-func endToEnd(h http.Header) http.Header {
+// endToEndHeaders returns a copy of a header without what applies to one connection only.
+func endToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, value := range h.Values("Connection") {
 		for _, name := range splitList(value) {
@@ -205,10 +208,10 @@
 	return out
 }
 
-// retriable lists the statuses of a server's failure that another server may not
-// share.
-var retriable = []int{
+// retryableStatuses lists the error statuses of a server that another server may not
+// return.
+var retryableStatuses = []int{
 	http.StatusInternalServerError, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout,
 }
 
-func isRetriable(status int) bool { return slices.Contains(retriable, status) }
+func isRetryable(status int) bool { return slices.Contains(retryableStatuses, status) }
--- a/gateway/candidates.go
+++ b/gateway/candidates.go
@@ -9,35 +9,35 @@
 	"github.com/briarturn/briarturn/upstream"
 )
 
-// clearTries is how often a request is placed again because other requests of this entry
-// took what it was placed on, or operators evacuated its zone meanwhile.
-const clearTries = 3
+// maxPlacementTries is how many times a request is placed if, before it is sent, other
+// requests of this entry take what it was placed on or operators evacuate its zone.
+const maxPlacementTries = 3
 
-// place chooses the server among those that had no attempt yet, or among all if
-// every one had.
+// place chooses a server among those that had no attempt yet, or among all if every one
+// had.
 func (e *exchange) place() (placement.Placement, placement.Decision) {
 	g := e.gateway
 	now := time.Now()
-	warm := e.warm(now)
+	coldLimit := e.coldLimit(now)
 	var servers []upstream.Server
-	servers, e.keptOut = eligible.Filter(g.cfg.Directory.AvailableServers(e.service.Name, now),
-		e.inRegions(), eligible.NotEvacuated{Zones: warm.Zones}, warm)
-	var candidates, had []placement.Candidate
+	servers, e.exclusionCause = eligible.Filter(g.cfg.Directory.AvailableServers(e.service.Name, now),
+		e.regionCondition(), eligible.NotEvacuated{Zones: coldLimit.Zones}, coldLimit)
+	var candidates, alreadyTried []placement.Candidate
 	for _, s := range servers {
-		c := placement.Candidate{Instance: s.Instance, Address: s.Address, Zone: s.Zone, Capacity: s.Capacity, Cold: warm.IsCold(s)}
-		if e.tried[s.Instance] {
-			had = append(had, c)
+		c := placement.Candidate{Instance: s.Instance, Address: s.Address, Zone: s.Zone, Capacity: s.Capacity, Cold: coldLimit.IsCold(s)}
+		if e.triedInstances[s.Instance] {
+			alreadyTried = append(alreadyTried, c)
 			continue
 		}
 		candidates = append(candidates, c)
 	}
 	if len(candidates) == 0 {
-		candidates = had
+		candidates = alreadyTried
 	}
-	return g.cfg.Placer.Place(e.query(), candidates)
+	return g.cfg.Placer.Place(e.placementQuery(), candidates)
 }
 
-func (e *exchange) inRegions() eligible.InRegions {
+func (e *exchange) regionCondition() eligible.InRegions {
 	in := eligible.InRegions{Route: e.route.Regions}
 	if e.workspace != nil {
 		in.Workspace = e.workspace.Regions
@@ -45,7 +45,7 @@
 	return in
 }
 
-func (e *exchange) warm(now time.Time) eligible.ColdLimit {
+func (e *exchange) coldLimit(now time.Time) eligible.ColdLimit {
 	g := e.gateway
 	return eligible.ColdLimit{
 		Limiter:   g.cfg.Warmup,
@@ -55,28 +55,30 @@
 	}
 }
 
-// clear reports whether a request may be sent where it was placed, right before it is: an
-// operator may have evacuated a zone while memory was reserved, and of the requests of this
-// entry that were placed on a cold server at the same moment only its share may go there.
-func (e *exchange) clear(place placement.Placement) bool {
-	warm := e.warm(time.Now())
-	servers := slices.Concat([]placement.Candidate{place.Server}, place.Helpers)
-	if slices.ContainsFunc(servers, func(c placement.Candidate) bool { return warm.Zones.Evacuated(c.Zone) }) {
+// stillEligible reports whether a request may be sent where it was placed. It is called
+// right before the send. Operators may have evacuated a zone while memory was reserved,
+// and if several requests of this entry were placed on a cold server at the same moment,
+// only its share of them may go there.
+func (e *exchange) stillEligible(placed placement.Placement) bool {
+	coldLimit := e.coldLimit(time.Now())
+	servers := slices.Concat([]placement.Candidate{placed.Server}, placed.Helpers)
+	if slices.ContainsFunc(servers, func(c placement.Candidate) bool { return coldLimit.Zones.Evacuated(c.Zone) }) {
 		return false
 	}
-	if warm.PerSecond <= 0 {
+	if coldLimit.PerSecond <= 0 {
 		return true
 	}
 	for _, c := range servers {
-		if c.Cold && !warm.Limiter.TryAcquire(c.Instance, warm.PerSecond, warm.Now) {
+		if c.Cold && !coldLimit.Limiter.TryAcquire(c.Instance, coldLimit.PerSecond, coldLimit.Now) {
 			return false
 		}
 	}
 	return true
 }
 
-// reasonOf translates why no server was left; empty if some was.
-func reasonOf(c eligible.Cause) Reason {
+// reasonFor returns the refusal reason for the cause that left no server, or "" if some
+// server was left.
+func reasonFor(c eligible.Cause) Reason {
 	switch c {
 	case eligible.OutOfRegion:
 		return ReasonOutOfRegion
--- a/gateway/candidates_test.go
+++ b/gateway/candidates_test.go
@@ -13,100 +13,102 @@
 	"github.com/briarturn/briarturn/routetable"
 )
 
-// inZones gives the servers of a world zones and regions in turn.
-func (w *world) inZones(zones, regions []string) *world {
-	for _, s := range w.directory.All() {
+// withZones gives the backend servers zones and regions in turn.
+func (gw *testGateway) withZones(zones, regions []string) *testGateway {
+	for _, s := range gw.directory.All() {
 		i := int(s.Instance[1]-'1') % len(zones)
 		s.Zone, s.Region = zones[i], regions[i]
-		w.directory.Put(s)
+		gw.directory.Put(s)
 	}
-	return w
+	return gw
 }
 
-// with puts a changed sample configuration in force.
-func (w *world) with(change func(*routetable.Config)) *world {
-	d := declared(2)
+// withConfig puts the sample configuration with a change in force.
+func (gw *testGateway) withConfig(change func(*routetable.Config)) *testGateway {
+	d := sampleConfig(2)
 	change(&d)
-	w.routes.Offer(routetable.New(d), *w.clock)
-	return w
+	gw.routes.Offer(routetable.New(d), *gw.clock)
+	return gw
 }
 
-// wantReason checks a refusal's status, reason and promise.
+// wantReason checks that a response is a refusal with status 503, the given reason and
+// the guarantee that the request has not run.
 func wantReason(t *testing.T, r *http.Response, body string, err error, want Reason) {
 	t.Helper()
 	wantStatus(t, r, err, http.StatusServiceUnavailable)
 	if !strings.Contains(body, string(want)) || !strings.Contains(body, "not_run") || r.Header.Get("Retry-After") == "" {
-		t.Errorf("answer %s, Retry-After %q", body, r.Header.Get("Retry-After"))
+		t.Errorf("response %s, Retry-After %q", body, r.Header.Get("Retry-After"))
 	}
 }
 
-// Nothing new goes to a zone that operators have evacuated.
-func TestEvacuatedZoneGetsNothingNew(t *testing.T) {
-	w := newWorld(t, answers("a"), answers("b")).configured().inZones([]string{"za", "zb"}, []string{"r", "r"})
-	w.zones.Begin("za")
-	r, _, err := w.ask(http.MethodGet, "/safe/1", "")
+// No new request is sent to a zone that operators have evacuated.
+func TestEvacuatedZoneReceivesNoNewRequests(t *testing.T) {
+	gw := newTestGateway(t, respondWith("a"), respondWith("b")).withSampleConfig().withZones([]string{"za", "zb"}, []string{"r", "r"})
+	gw.zones.Begin("za")
+	r, _, err := gw.send(http.MethodGet, "/safe/1", "")
 	wantStatus(t, r, err, http.StatusOK)
-	w.zones.End("za")
-	w.zones.Begin("zb")
-	r, _, err = w.ask(http.MethodGet, "/safe/2", "")
+	gw.zones.End("za")
+	gw.zones.Begin("zb")
+	r, _, err = gw.send(http.MethodGet, "/safe/2", "")
 	wantStatus(t, r, err, http.StatusOK)
-	w.wantArrivals("s2 id-1, s1 id-1")
+	gw.wantArrivals("s2 id-1, s1 id-1")
 }
 
-// A retry doesn't go to a zone that was evacuated after the first attempt, and a server that
-// had an attempt isn't asked again in its place.
-func TestRetryLeavesAnEvacuatedZoneAlone(t *testing.T) {
-	var w *world
-	w = newWorld(t, func(rw http.ResponseWriter, r *http.Request) {
-		w.zones.Begin("zb")
-		refuses(rw, r)
-	}, answers("b"), answers("c")).configured().inZones([]string{"za", "zb", "zc"}, []string{"r", "r", "r"})
-	r, _, err := w.ask(http.MethodGet, "/safe/1", "")
+// A retry is not sent to a zone that was evacuated after the first attempt. The server
+// that had the first attempt is not tried again instead.
+func TestRetryAvoidsEvacuatedZone(t *testing.T) {
+	var gw *testGateway
+	gw = newTestGateway(t, func(rw http.ResponseWriter, r *http.Request) {
+		gw.zones.Begin("zb")
+		respondNotRun(rw, r)
+	}, respondWith("b"), respondWith("c")).withSampleConfig().withZones([]string{"za", "zb", "zc"}, []string{"r", "r", "r"})
+	r, _, err := gw.send(http.MethodGet, "/safe/1", "")
 	wantStatus(t, r, err, http.StatusOK)
-	w.wantArrivals("s1 id-1, s3 id-1")
+	gw.wantArrivals("s1 id-1, s3 id-1")
 }
 
-// A stream that broke isn't resumed in a zone that was evacuated while it ran; what runs in
-// such a zone goes on.
+// A stream that broke is not resumed in a zone that was evacuated while the stream ran.
+// Streams that already run in such a zone continue.
 func TestStreamIsNotResumedInAnEvacuatedZone(t *testing.T) {
-	var w *world
-	w = newWorld(t, func(rw http.ResponseWriter, r *http.Request) {
-		w.zones.Begin("za")
-		w.zones.Begin("zb")
-		events(1, 3, true)(rw, r)
-	}, events(4, 6, false), events(4, 6, false)).configured().inZones([]string{"za", "zb", "zc"}, []string{"r", "r", "r"})
-	r, body, err := w.ask(http.MethodGet, "/stream/1", "")
+	var gw *testGateway
+	gw = newTestGateway(t, func(rw http.ResponseWriter, r *http.Request) {
+		gw.zones.Begin("za")
+		gw.zones.Begin("zb")
+		streamEvents(1, 3, true)(rw, r)
+	}, streamEvents(4, 6, false), streamEvents(4, 6, false)).withSampleConfig().withZones([]string{"za", "zb", "zc"}, []string{"r", "r", "r"})
+	r, body, err := gw.send(http.MethodGet, "/stream/1", "")
 	wantStatus(t, r, err, http.StatusOK)
-	if body != wantEvents(1, 6) {
+	if body != eventText(1, 6) {
 		t.Errorf("body %q", body)
 	}
-	w.wantArrivals("s1 id-1, s3 id-1")
+	gw.wantArrivals("s1 id-1, s3 id-1")
 }
 
-// With all servers in evacuated zones a request is refused at once, and has not run.
-func TestRefusedAtOnceWhereAllZonesAreEvacuated(t *testing.T) {
-	w := newWorld(t, answers("a"), answers("b")).configured().inZones([]string{"za", "zb"}, []string{"r", "r"})
-	w.zones.Begin("za")
-	w.zones.Begin("zb")
+// If all servers are in evacuated zones, a request is refused at once and has not run.
+func TestRefusedAtOnceWhenAllZonesAreEvacuated(t *testing.T) {
+	gw := newTestGateway(t, respondWith("a"), respondWith("b")).withSampleConfig().withZones([]string{"za", "zb"}, []string{"r", "r"})
+	gw.zones.Begin("za")
+	gw.zones.Begin("zb")
 	for _, path := range []string{"/safe/1", "/once/1", "/stream/1"} {
-		r, body, err := w.ask(http.MethodGet, path, "", hPrompt, "5000")
+		r, body, err := gw.send(http.MethodGet, path, "", hPrompt, "5000")
 		wantReason(t, r, body, err, ReasonZoneEvacuated)
 	}
-	w.wantArrivals("")
+	gw.wantArrivals("")
 }
 
-// An entry that hasn't heard which zones are evacuated serves nobody.
-func TestServesNobodyBeforeItKnowsTheEvacuatedZones(t *testing.T) {
-	w := newWorld(t, answers("a")).configured()
-	w.gateway.cfg.Zones = evacuation.NewZones(func() boottime.Instant { return *w.clock })
-	r, body, err := w.ask(http.MethodGet, "/safe/1", "")
+// An entry that has not received the list of evacuated zones refuses every request.
+func TestRefusesAllBeforeEvacuatedZonesAreLoaded(t *testing.T) {
+	gw := newTestGateway(t, respondWith("a")).withSampleConfig()
+	gw.gateway.cfg.Zones = evacuation.NewZones(func() boottime.Instant { return *gw.clock })
+	r, body, err := gw.send(http.MethodGet, "/safe/1", "")
 	wantReason(t, r, body, err, ReasonNoConfig)
-	w.wantArrivals("")
+	gw.wantArrivals("")
 }
 
-// A request reaches a server in a region that its route or its workspace doesn't allow: by the
-// first attempt, a retry, a resumed stream, or because none is left in the others.
-func TestRequestsStayInTheirRegions(t *testing.T) {
+// Guards against a request that reaches a server in a region which its route or its
+// workspace does not allow: by the first attempt, by a retry, by a resumed stream, or
+// because no server is left in the allowed regions.
+func TestRequestsStayInAllowedRegions(t *testing.T) {
 	bound := func(d *routetable.Config) {
 		for i := range d.Routes {
 			d.Routes[i].Regions = routetable.Regions{"north", "west"}
@@ -116,71 +118,73 @@
 	zones := []string{"za", "zb", "zc"}
 	regions := []string{"south", "north", "west"}
 	t.Run("first attempt", func(t *testing.T) {
-		w := newWorld(t, answers("a"), answers("b"), answers("c")).with(bound).inZones(zones, regions)
-		r, _, err := w.ask(http.MethodGet, "/safe/1", "")
+		gw := newTestGateway(t, respondWith("a"), respondWith("b"), respondWith("c")).withConfig(bound).withZones(zones, regions)
+		r, _, err := gw.send(http.MethodGet, "/safe/1", "")
 		wantStatus(t, r, err, http.StatusOK)
-		r, _, err = w.ask(http.MethodGet, "/keyed/2", "", hKey, "k")
+		r, _, err = gw.send(http.MethodGet, "/keyed/2", "", hKey, "k")
 		wantStatus(t, r, err, http.StatusOK)
-		w.wantArrivals("s2 id-1, s3 id-1")
+		gw.wantArrivals("s2 id-1, s3 id-1")
 	})
 	t.Run("retry", func(t *testing.T) {
-		w := newWorld(t, answers("a"), refuses, refuses).with(bound).inZones(zones, regions)
-		r, _, err := w.ask(http.MethodGet, "/safe/1", "")
+		gw := newTestGateway(t, respondWith("a"), respondNotRun, respondNotRun).withConfig(bound).withZones(zones, regions)
+		r, _, err := gw.send(http.MethodGet, "/safe/1", "")
 		wantStatus(t, r, err, http.StatusServiceUnavailable)
-		w.wantArrivals("s2 id-1, s3 id-1")
+		gw.wantArrivals("s2 id-1, s3 id-1")
 	})
 	t.Run("resumed stream", func(t *testing.T) {
-		w := newWorld(t, events(4, 6, false), events(1, 3, true), events(4, 6, false)).with(bound).inZones(zones, regions)
-		r, body, err := w.ask(http.MethodGet, "/stream/1", "")
+		gw := newTestGateway(t, streamEvents(4, 6, false), streamEvents(1, 3, true), streamEvents(4, 6, false)).withConfig(bound).withZones(zones, regions)
+		r, body, err := gw.send(http.MethodGet, "/stream/1", "")
 		wantStatus(t, r, err, http.StatusOK)
-		if body != wantEvents(1, 6) {
+		if body != eventText(1, 6) {
 			t.Errorf("body %q", body)
 		}
-		w.wantArrivals("s2 id-1, s3 id-1")
+		gw.wantArrivals("s2 id-1, s3 id-1")
 	})
-	t.Run("none there", func(t *testing.T) {
-		w := newWorld(t, answers("a"), answers("b")).with(bound).inZones(zones[:2], regions[:2])
-		r, body, err := w.ask(http.MethodGet, "/keyed/1", "", hKey, "k", hPrompt, "5000")
+	t.Run("no server left", func(t *testing.T) {
+		gw := newTestGateway(t, respondWith("a"), respondWith("b")).withConfig(bound).withZones(zones[:2], regions[:2])
+		r, body, err := gw.send(http.MethodGet, "/keyed/1", "", hKey, "k", hPrompt, "5000")
 		wantReason(t, r, body, err, ReasonOutOfRegion)
-		w.wantArrivals("")
+		gw.wantArrivals("")
 	})
 }
 
-// All requests of an entry go to a server that has just started, which bears few.
-func TestColdServerGetsItsShareOnly(t *testing.T) {
+// Guards against an entry that sends all its requests to a server that has just started
+// and can handle only a few.
+func TestColdServerRateIsLimited(t *testing.T) {
 	cold := func(d *routetable.Config) { d.Services[0].ColdPerSecond = 2 }
-	w := newWorld(t, answers("a"), answers("b")).with(cold)
-	for _, s := range w.directory.All() {
+	gw := newTestGateway(t, respondWith("a"), respondWith("b")).withConfig(cold)
+	for _, s := range gw.directory.All() {
 		if s.Instance == "s1" {
 			s.ColdUntil = time.Now().Add(time.Hour)
-			w.directory.Put(s)
+			gw.directory.Put(s)
 		}
 	}
 	for range 4 {
-		r, _, err := w.ask(http.MethodGet, "/safe/1", "")
+		r, _, err := gw.send(http.MethodGet, "/safe/1", "")
 		wantStatus(t, r, err, http.StatusOK)
 	}
-	w.wantArrivals("s1 id-1, s1 id-1, s2 id-1, s2 id-1")
-	w.directory.Remove("s2", time.Now())
-	r, body, err := w.ask(http.MethodGet, "/safe/1", "")
+	gw.wantArrivals("s1 id-1, s1 id-1, s2 id-1, s2 id-1")
+	gw.directory.Remove("s2", time.Now())
+	r, body, err := gw.send(http.MethodGet, "/safe/1", "")
 	wantReason(t, r, body, err, ReasonServersCold)
 }
 
-// Requests that are placed on a cold server at the same moment are all sent there.
-func TestShareOfAColdServerIsTakenOnce(t *testing.T) {
+// Guards against sending a cold server all requests that are placed on it at the same
+// moment.
+func TestColdServerLimitHoldsForConcurrentRequests(t *testing.T) {
 	cold := func(d *routetable.Config) { d.Services[0].ColdPerSecond = 1 }
 	arrived, release := make(chan struct{}, 8), make(chan struct{})
-	w := newWorld(t, func(rw http.ResponseWriter, _ *http.Request) {
+	gw := newTestGateway(t, func(rw http.ResponseWriter, _ *http.Request) {
 		arrived <- struct{}{}
 		<-release
-	}).with(cold)
-	s := w.directory.All()[0]
+	}).withConfig(cold)
+	s := gw.directory.All()[0]
 	s.ColdUntil = time.Now().Add(time.Hour)
-	w.directory.Put(s)
+	gw.directory.Put(s)
 	statuses := make(chan int, 8)
 	for range 8 {
 		go func() {
-			r, _, err := w.ask(http.MethodGet, "/once/1", "")
+			r, _, err := gw.send(http.MethodGet, "/once/1", "")
 			if err != nil {
 				statuses <- 0
 				return
@@ -197,28 +201,29 @@
 	close(release)
 	<-statuses
 	if len(arrived) != 0 {
-		t.Errorf("%d more reached the cold server", len(arrived))
+		t.Errorf("%d more requests reached the cold server", len(arrived))
 	}
 }
 
-// evacuates is a Placer during whose first choice operators evacuate a zone.
-type evacuates struct {
+// evacuatingPlacer is a Placer during whose first call operators evacuate a zone.
+type evacuatingPlacer struct {
 	Placer
 	begin func()
 	once  sync.Once
 }
 
-func (p *evacuates) Place(q placement.Query, candidates []placement.Candidate) (placement.Placement, placement.Decision) {
+func (p *evacuatingPlacer) Place(q placement.Query, candidates []placement.Candidate) (placement.Placement, placement.Decision) {
 	place, answer := p.Placer.Place(q, candidates)
 	p.once.Do(p.begin)
 	return place, answer
 }
 
-// A request goes to a zone that was evacuated between its placement and its send.
-func TestZoneIsLookedAtOnceMoreBeforeTheSend(t *testing.T) {
-	w := newWorld(t, answers("a"), answers("b")).configured().inZones([]string{"za", "zb"}, []string{"r", "r"})
-	w.gateway.cfg.Placer = &evacuates{Placer: w.gateway.cfg.Placer, begin: func() { w.zones.Begin("za") }}
-	r, _, err := w.ask(http.MethodGet, "/once/1", "")
+// Guards against sending a request to a zone that was evacuated between its placement and
+// its send.
+func TestZoneIsCheckedAgainBeforeSend(t *testing.T) {
+	gw := newTestGateway(t, respondWith("a"), respondWith("b")).withSampleConfig().withZones([]string{"za", "zb"}, []string{"r", "r"})
+	gw.gateway.cfg.Placer = &evacuatingPlacer{Placer: gw.gateway.cfg.Placer, begin: func() { gw.zones.Begin("za") }}
+	r, _, err := gw.send(http.MethodGet, "/once/1", "")
 	wantStatus(t, r, err, http.StatusOK)
-	w.wantArrivals("s2 id-1")
+	gw.wantArrivals("s2 id-1")
 }
--- a/gateway/ending.go
+++ b/gateway/ending.go
@@ -6,33 +6,33 @@
 
 // Phases of a shutdown, in order.
 const (
-	phaseServing  int32 = iota
-	phaseLeaving        // answers close their connections
-	phaseNoStream       // streams that begin now would not end in time
-	phaseClosed         // nothing that begins now would
+	phaseServing       int32 = iota
+	phaseDraining            // responses close their connections
+	phaseRefuseStreams       // new streams are refused: they would not end in time
+	phaseRefuseAll           // all new requests are refused: they would not end in time
 )
 
-// BeginShutdown begins a shutdown: every answer from now on asks its caller to open a new
-// connection, which the balancer takes to another entry.
-func (g *Gateway) BeginShutdown() { g.ending.Store(phaseLeaving) }
+// BeginShutdown begins a shutdown. From then on every response asks its caller to open a
+// new connection, which the load balancer directs to another entry.
+func (g *Gateway) BeginShutdown() { g.phase.Store(phaseDraining) }
 
-// RefuseStreams has new streams refused, which might outlast the shutdown.
-func (g *Gateway) RefuseStreams() { g.ending.Store(phaseNoStream) }
+// RefuseStreams makes the gateway refuse new streams, which might outlast the shutdown.
+func (g *Gateway) RefuseStreams() { g.phase.Store(phaseRefuseStreams) }
 
-// RefuseAll has every new request refused.
-func (g *Gateway) RefuseAll() { g.ending.Store(phaseClosed) }
+// RefuseAll makes the gateway refuse all new requests.
+func (g *Gateway) RefuseAll() { g.phase.Store(phaseRefuseAll) }
 
 // ShuttingDown reports whether a shutdown has begun.
-func (g *Gateway) ShuttingDown() bool { return g.ending.Load() >= phaseLeaving }
+func (g *Gateway) ShuttingDown() bool { return g.phase.Load() >= phaseDraining }
 
 // ActiveRequests returns how many requests are in progress.
-func (g *Gateway) ActiveRequests() int64 { return g.running.Load() }
+func (g *Gateway) ActiveRequests() int64 { return g.activeRequests.Load() }
 
-func (g *Gateway) refusesNew(route *routetable.Route) bool {
-	switch g.ending.Load() {
-	case phaseNoStream:
+func (g *Gateway) refusesRoute(route *routetable.Route) bool {
+	switch g.phase.Load() {
+	case phaseRefuseStreams:
 		return route.Kind == routetable.Stream
-	case phaseClosed:
+	case phaseRefuseAll:
 		return true
 	}
 	return false
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -16,43 +16,43 @@
 	"github.com/briarturn/briarturn/routetable"
 )
 
-// exchange is one caller's request from its head to the end of its answer. One
+// exchange handles one caller's request from its head to the end of the response. One
 // goroutine owns it.
 type exchange struct {
-	gateway  *Gateway
-	writer   http.ResponseWriter
-	incoming *http.Request
-	begun    time.Time
+	gateway   *Gateway
+	writer    http.ResponseWriter
+	incoming  *http.Request
+	startedAt time.Time
 
-	env       RequestInfo
-	route     *routetable.Route
-	service   *routetable.Service
-	workspace *routetable.Workspace
-	revision  uint64
-	age       time.Duration // of the configuration when the request was judged
-	body      []byte
-	mark      uint64    // fingerprint of caller, path and body
-	end       time.Time // the caller's patience or the route's timeout
-	stream    *relay    // of a stream
+	info        RequestInfo
+	route       *routetable.Route
+	service     *routetable.Service
+	workspace   *routetable.Workspace
+	revision    uint64
+	configAge   time.Duration // age of the configuration when the request was admitted
+	body        []byte
+	fingerprint uint64       // of caller, path and body
+	deadline    time.Time    // by the caller's or the route's timeout
+	stream      *streamRelay // nil unless the route serves streams
 
-	sends    int                 // attempts of which something was sent
-	dials    int                 // attempts of which nothing was sent
-	tried    map[string]bool     // instances that had an attempt
-	mayRun   bool                // an attempt ended without proof that it did not run
-	held     *answer             // the last whole failure of a server, to be passed on
-	firstOut time.Time           // when the caller got the first byte
-	server   string              // address of the last attempt
-	placed   placement.Placement // of the last attempt
-	placedAt time.Time           // when that was chosen
-	keptOut  eligible.Cause      // why the last choice had no server
-	tooLate  time.Duration       // forecast of a first token past the caller's time, else 0
-	outcome  string
-	limit    string // which limit ended the attempts, if one did
-	status   int
+	sends           int                 // attempts that sent something
+	connectFailures int                 // attempts that sent nothing
+	triedInstances  map[string]bool     // instances that had an attempt
+	mayHaveRun      bool                // an attempt ended without proof that it did not run
+	lastFailure     *bufferedResponse   // last complete error response of a server, relayed if no attempt succeeds
+	firstByteAt     time.Time           // when the caller was sent the first byte
+	serverAddress   string              // address of the last attempt's server
+	placement       placement.Placement // of the last attempt
+	placedAt        time.Time           // when the last attempt was placed
+	exclusionCause  eligible.Cause      // why the last placement had no server
+	lateForecast    time.Duration       // forecast time to the first token if it misses the deadline, else 0
+	outcome         string
+	limit           string // limit that ended the attempts, if one did
+	status          int
 }
 
 func (e *exchange) serve() {
-	e.gateway.tally.requests.Inc(1)
+	e.gateway.counters.requests.Inc(1)
 	defer e.log()
 	if reason := e.admit(); reason != "" {
 		e.refuse(reason)
@@ -62,27 +62,28 @@
 		e.refuse(reason)
 		return
 	}
-	defer e.gateway.bodies.Add(-int64(len(e.body)))
-	if e.poisoned() {
+	defer e.gateway.bufferedBodyBytes.Add(-int64(len(e.body)))
+	if e.isQuarantined() {
 		e.refuse(ReasonKillsServers)
 		return
 	}
-	ctx, cancel, end := deadline(e.incoming.Context(), e.begun, e.env, e.route)
+	ctx, cancel, end := requestContext(e.incoming.Context(), e.startedAt, e.info, e.route)
 	defer cancel()
-	e.end = end
-	timed := http.NewResponseController(e.writer)
-	_ = timed.SetWriteDeadline(end.Add(e.gateway.cfg.Options.WriteSlack)) // as for reads
-	defer func() { _ = timed.SetWriteDeadline(time.Time{}) }()
-	e.makeAttempts(ctx)
-	e.survived()
+	e.deadline = end
+	controller := http.NewResponseController(e.writer)
+	_ = controller.SetWriteDeadline(end.Add(e.gateway.cfg.Options.WriteSlack)) // error ignored as in readBody
+	defer func() { _ = controller.SetWriteDeadline(time.Time{}) }()
+	e.runAttempts(ctx)
+	e.recordCompletion()
 	if e.status == 0 {
-		// Nobody is there to answer. Returning would have net/http send an empty
-		// 200, which no server gave.
+		// The caller is gone. Returning would make net/http send an empty 200, which no
+		// server gave.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// admit judges the head by the newest configuration.
+// admit checks the head of a request against the latest configuration. It returns the
+// reason for a refusal, or "" to admit the request.
 func (e *exchange) admit() Reason {
 	g := e.gateway
 	table, age, ok := g.cfg.Routes.Table()
@@ -90,15 +91,16 @@
 		return ReasonNoConfig
 	}
 	if _, listed := g.cfg.Zones.Age(); !listed {
-		return ReasonNoConfig // the zone of any server may have been evacuated
+		return ReasonNoConfig // any server's zone may have been evacuated
 	}
-	e.revision, e.age = table.Revision(), age
-	if limit := table.Limits().HeaderBytes; limit > 0 && headerBytes(e.incoming.Header) > limit {
+	e.revision, e.configAge = table.Revision(), age
+	if limit := table.Limits().HeaderBytes; limit > 0 && headerSize(e.incoming.Header) > limit {
 		return ReasonHeaderTooLarge
 	}
-	// Before the route is known: the line of a request that has none needs its id.
-	env, err := g.cfg.Protocol.DecodeRequest(e.incoming.Header)
-	e.env = env
+	// Decoded before the route is looked up: the log line of a request without a route
+	// needs its ID.
+	info, err := g.cfg.Protocol.DecodeRequest(e.incoming.Header)
+	e.info = info
 	stale := age > g.cfg.Options.KeyAge
 	e.route, ok = table.Route(e.incoming.Host, e.incoming.URL.EscapedPath())
 	if !ok && stale {
@@ -107,31 +109,31 @@
 	if !ok {
 		return ReasonNoRoute
 	}
-	if err != nil || climbs(e.incoming.URL.Path) {
+	if err != nil || hasParentSegment(e.incoming.URL.Path) {
 		return ReasonMalformed
 	}
 	if reason := e.authorize(table, stale); reason != "" {
 		return reason
 	}
-	if g.refusesNew(e.route) {
+	if g.refusesRoute(e.route) {
 		return ReasonShuttingDown
 	}
-	e.service, ok = table.Service(pickTarget(e.route))
+	e.service, ok = table.Service(pickService(e.route))
 	if !ok {
 		return ReasonNoServer
 	}
 	return ""
 }
 
-// climbs reports whether a path, decoded, has a segment that stands for the one above.
-// The route is chosen by how the path begins, and a server that resolves such
-// segments would run what belongs to another route, with another key.
-func climbs(path string) bool {
+// hasParentSegment reports whether a decoded path has a ".." segment. The route is chosen
+// by the prefix of the path. A server that resolves such segments would run a request
+// that belongs to another route and needs another key.
+func hasParentSegment(path string) bool {
 	return slices.Contains(strings.Split(path, "/"), "..")
 }
 
-// headerBytes is the size of a header on the wire.
-func headerBytes(h http.Header) int {
+// headerSize returns the size of a header on the wire in bytes.
+func headerSize(h http.Header) int {
 	const separators = len(": \r\n")
 	n := 0
 	for name, values := range h {
@@ -142,8 +144,8 @@
 	return n
 }
 
-// authorize finds the workspace. A configuration of unknown age may hold keys that
-// operators have removed: it authorizes nobody.
+// authorize finds the workspace of the request's API key. A stale configuration may hold
+// keys that operators have removed, so it authorizes no request.
 func (e *exchange) authorize(table *routetable.Table, stale bool) Reason {
 	if !table.NeedsKey(e.route) {
 		return ""
@@ -151,7 +153,7 @@
 	if stale {
 		return ReasonStaleConfig
 	}
-	ws, ok := table.Workspace(e.env.APIKey)
+	ws, ok := table.Workspace(e.info.APIKey)
 	if !ok {
 		return ReasonUnknownKey
 	}
@@ -159,10 +161,10 @@
 	return ""
 }
 
-// judgeAgain authorizes a request once more right before it is first sent: its key
-// may have been removed while it waited for a server. One that was sent before goes
-// on: what has begun under a key is finished.
-func (e *exchange) judgeAgain() Reason {
+// reauthorize checks the API key again right before the request is first sent, because
+// the key may have been removed while the request waited for a server. A request that was
+// sent before continues: what began under a valid key is finished.
+func (e *exchange) reauthorize() Reason {
 	if e.workspace == nil || e.sends > 0 {
 		return ""
 	}
@@ -170,14 +172,14 @@
 	if !ok || age > e.gateway.cfg.Options.KeyAge {
 		return ReasonStaleConfig
 	}
-	ws, ok := table.Workspace(e.env.APIKey)
+	ws, ok := table.Workspace(e.info.APIKey)
 	if !ok || ws.Name != e.workspace.Name {
 		return ReasonUnknownKey
 	}
 	return ""
 }
 
-// readBody reads the whole body: an attempt that did not run can then be sent to
+// readBody reads the whole body, so that an attempt that did not run can be repeated on
 // another server.
 func (e *exchange) readBody() Reason {
 	g := e.gateway
@@ -185,14 +187,14 @@
 	if e.incoming.ContentLength > limit {
 		return ReasonBodyTooLarge
 	}
-	if g.bodies.Load() > g.cfg.Options.BodiesBytes {
+	if g.bufferedBodyBytes.Load() > g.cfg.Options.BodiesBytes {
 		return ReasonBodyMemoryFull
 	}
-	timed := http.NewResponseController(e.writer)
-	// A connection that takes no deadline is one of a test; its reads end by
-	// themselves.
-	_ = timed.SetReadDeadline(time.Now().Add(g.cfg.Options.BodyTimeout))
-	defer func() { _ = timed.SetReadDeadline(time.Time{}) }()
+	controller := http.NewResponseController(e.writer)
+	// The error is ignored. Only the connections of tests support no deadline, and their
+	// reads end without one.
+	_ = controller.SetReadDeadline(time.Now().Add(g.cfg.Options.BodyTimeout))
+	defer func() { _ = controller.SetReadDeadline(time.Time{}) }()
 	body, err := io.ReadAll(http.MaxBytesReader(e.writer, e.incoming.Body, limit))
 	if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
 		return ReasonBodyTooLarge
@@ -201,7 +203,7 @@
 		return ReasonBodyIncomplete
 	}
 	e.body = body
-	g.bodies.Add(int64(len(body)))
+	g.bufferedBodyBytes.Add(int64(len(body)))
 	return ""
 }
 
@@ -213,120 +215,125 @@
 	return table.Limits().BodyBytes
 }
 
-// makeAttempts goes on until one gives the caller its answer or none may follow.
-func (e *exchange) makeAttempts(ctx context.Context) {
+// runAttempts makes attempts until one gives the caller its response or no further
+// attempt is allowed.
+func (e *exchange) runAttempts(ctx context.Context) {
 	if e.route.Kind == routetable.Stream {
-		e.stream = newRelay(e)
+		e.stream = newStreamRelay(e)
 	}
-	e.tried = map[string]bool{}
+	e.triedInstances = map[string]bool{}
 	e.gateway.cfg.Budget.RecordRequest(e.service.Name, time.Now())
 	for {
 		next, reason := e.attempt(ctx)
-		if next == stop {
+		if next == stepDone {
 			return
 		}
-		if next == finish || !e.mayGoOn(ctx) {
-			e.finish(ctx, reason)
+		if next == stepFail || !e.mayRetry(ctx) {
+			e.respondFinal(ctx, reason)
 			return
 		}
 	}
 }
 
-// step is what follows an attempt.
-type step uint8
+// nextStep is what follows an attempt.
+type nextStep uint8
 
 const (
-	stop   step = iota // the caller has its answer, or is gone
-	finish             // no attempt may follow; the caller needs an answer
-	again              // another attempt may follow
+	stepDone  nextStep = iota // the caller has its response or is gone
+	stepFail                  // no further attempt is allowed; the caller needs a response
+	stepRetry                 // another attempt may follow
 )
 
-// after decides by how an attempt ended. The table is package request's.
-func (e *exchange) after(s request.AttemptOutcome) (step, Reason) {
+// decideNext decides what follows an attempt by how the attempt ended. Package request
+// has the decision table. The returned reason applies if no other attempt follows.
+func (e *exchange) decideNext(s request.AttemptOutcome) (nextStep, Reason) {
 	s.Idempotent = e.route.Repeatable()
-	s.FirstByte = e.stream != nil && e.stream.started
+	s.FirstByte = e.stream != nil && e.stream.headSent
 	if !s.Refused && s.Sent {
-		e.mayRun = true
+		e.mayHaveRun = true
 	}
 	v := request.DecideRetry(s)
 	reason := ReasonOutcomeUnknown
-	if v.FailureCode == request.NotRun && !e.mayRun {
+	if v.FailureCode == request.NotRun && !e.mayHaveRun {
 		reason = ReasonServersRefused
 	}
 	if v.Action == request.Fail {
-		return finish, reason
+		return stepFail, reason
 	}
-	return again, reason
+	return stepRetry, reason
 }
 
-// mayGoOn reports whether one more attempt is within the limits of the route, the
-// shared budget and the caller's time.
-func (e *exchange) mayGoOn(ctx context.Context) bool {
+// mayRetry reports whether another attempt is within the limits of the route, the shared
+// budget and the request's deadline.
+func (e *exchange) mayRetry(ctx context.Context) bool {
 	if ctx.Err() != nil {
-		return e.noMore(limitTime)
+		return e.stopRetrying(limitTime)
 	}
-	if e.dials >= e.gateway.cfg.Options.ConnectTries {
-		return e.noMore(limitDials)
+	if e.connectFailures >= e.gateway.cfg.Options.ConnectTries {
+		return e.stopRetrying(limitConnect)
 	}
 	if e.sends == 0 {
 		return true
 	}
 	if e.sends >= max(1, e.route.MaxAttempts) {
-		return e.noMore(limitAttempts)
+		return e.stopRetrying(limitAttempts)
 	}
 	if !e.gateway.cfg.Budget.TryWithdraw(e.service.Name, time.Now()) {
-		e.gateway.tally.overBudget.Inc(1)
-		return e.noMore(limitBudget)
+		e.gateway.counters.retriesOverBudget.Inc(1)
+		return e.stopRetrying(limitBudget)
 	}
-	e.gateway.tally.again.Inc(1)
+	e.gateway.counters.retries.Inc(1)
 	return true
 }
 
-// noMore notes which limit ended the attempts.
-func (e *exchange) noMore(limit string) bool {
+// stopRetrying records which limit ended the attempts. It returns false.
+func (e *exchange) stopRetrying(limit string) bool {
 	e.limit = limit
 	return false
 }
 
-// finish gives the caller the best answer there is: a server's own failure, a
-// refusal that is true, or the word that the outcome is unknown.
-func (e *exchange) finish(ctx context.Context, reason Reason) {
+// respondFinal ends a request that no attempt answered. It relays a server's own error
+// response if there is one, and otherwise sends a refusal that states whether the request
+// may have run. A stream that has begun is aborted.
+func (e *exchange) respondFinal(ctx context.Context, reason Reason) {
 	switch {
-	case e.stream != nil && e.stream.started:
-		e.breakOff()
+	case e.stream != nil && e.stream.headSent:
+		e.abortResponse()
 	case e.incoming.Context().Err() != nil:
-		e.outcome = outcomeGone
-		e.gateway.tally.gone.Inc(1)
-	case e.held != nil:
-		e.held.deliver(e)
-	case ctx.Err() != nil && e.mayRun:
+		e.outcome = outcomeCallerGone
+		e.gateway.counters.callersGone.Inc(1)
+	case e.lastFailure != nil:
+		e.lastFailure.writeTo(e)
+	case ctx.Err() != nil && e.mayHaveRun:
 		e.refuse(ReasonTimeout)
 	default:
 		e.refuse(reason)
 	}
 }
 
-// breakOff ends an answer that can't be completed. The caller's connection is
-// closed without the mark of an end, so that it can't be taken for whole.
-func (e *exchange) breakOff() {
-	e.outcome = outcomeBroken
-	e.gateway.tally.broken.Inc(1)
+// abortResponse ends a response that can't be completed. It closes the caller's
+// connection without terminating the body, so that the caller can't take the response
+// for complete.
+func (e *exchange) abortResponse() {
+	e.outcome = outcomeBrokenOff
+	e.gateway.counters.brokenResponses.Inc(1)
 	panic(http.ErrAbortHandler)
 }
 
 func (e *exchange) refuse(reason Reason) {
 	e.outcome = string(reason)
 	e.status = reason.status()
-	e.gateway.tally.refused[reason].Inc(1)
-	refuse(e.writer, reason, e.retryAfter(reason))
+	e.gateway.counters.refused[reason].Inc(1)
+	writeRefusal(e.writer, reason, e.retryAfter(reason))
 }
 
-// retryAfter is when the caller may come back. One whose answer would have come too late by
-// some seconds finds servers that are less busy by as much.
+// retryAfter returns when the caller may retry. If the response was forecast to miss the
+// deadline, the delay is at least the excess: by then the servers are less busy by as
+// much.
 func (e *exchange) retryAfter(reason Reason) time.Duration {
 	after := reason.retryAfter(e.gateway.cfg.Options)
 	if reason == ReasonDeadlineUnmeetable {
-		after = max(after, e.tooLate-time.Until(e.end))
+		after = max(after, e.lateForecast-time.Until(e.deadline))
 	}
 	return after
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -19,7 +19,7 @@
 	"github.com/briarturn/briarturn/warmup"
 )
 
-// Config sets up a Gateway.
+// Config holds the dependencies and the options of a Gateway.
 type Config struct {
 	Protocol      Protocol
 	Routes        *routetable.Holder
@@ -34,46 +34,48 @@
 	DeathReporter DeathReporter
 	Options       Options
 	Log           logrus.FieldLogger
-	// Sampler thins out the lines of requests that went well; nil writes all.
+	// Sampler limits the log lines of successful requests; if nil, all are written.
 	Sampler Sampler
 	Metrics metrics.Registry
 }
 
-// Placer chooses where an attempt runs, and hears what becomes of it.
+// Placer chooses the servers of an attempt. The Placement that it returns reports the
+// progress of the attempt back to it.
 type Placer interface {
-	// Place chooses among candidates.
+	// Place chooses servers among candidates.
 	Place(q placement.Query, candidates []placement.Candidate) (placement.Placement, placement.Decision)
 }
 
-// Gateway is the http.Handler of an entry for routed requests. It is safe for
-// concurrent use.
+// Gateway is the http.Handler of an entry for routed requests. It is safe for concurrent
+// use.
 type Gateway struct {
-	cfg     Config
-	tally   tally
-	running atomic.Int64
-	ending  atomic.Int32 // phase of a shutdown
-	bodies  atomic.Int64 // bytes of request bodies held
+	cfg               Config
+	counters          counters
+	activeRequests    atomic.Int64
+	phase             atomic.Int32 // shutdown phase
+	bufferedBodyBytes atomic.Int64 // bytes of request bodies held in memory
 }
 
-// New returns a Gateway.
+// New returns a Gateway. Options that are not set take their defaults.
 func New(cfg Config) *Gateway {
 	cfg.Options = cfg.Options.withDefaults()
-	return &Gateway{cfg: cfg, tally: newTally(cfg.Metrics)}
+	return &Gateway{cfg: cfg, counters: newCounters(cfg.Metrics)}
 }
 
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g.running.Add(1)
-	defer g.running.Add(-1)
+	g.activeRequests.Add(1)
+	defer g.activeRequests.Add(-1)
 	if g.ShuttingDown() {
 		w.Header().Set("Connection", "close")
 	}
-	e := &exchange{gateway: g, writer: w, incoming: r, begun: time.Now()}
+	e := &exchange{gateway: g, writer: w, incoming: r, startedAt: time.Now()}
 	e.serve()
 }
 
-// pickTarget draws the service of a request by the weights of its route.
-func pickTarget(route *routetable.Route) string {
+// pickService draws the service of a request at random by the weights of its route. It
+// returns "" if no target has a weight.
+func pickService(route *routetable.Route) string {
 	total := 0
 	for _, t := range route.Targets {
 		total += t.Weight
@@ -90,17 +92,17 @@
 	return ""
 }
 
-// deadline returns a context that ends when the caller's patience or the route's
-// timeout does, whichever is first.
-func deadline(ctx context.Context, begun time.Time, env RequestInfo, route *routetable.Route) (context.Context, context.CancelFunc, time.Time) {
+// requestContext returns a context that ends at the caller's or the route's timeout,
+// whichever is shorter, and the time at which it ends.
+func requestContext(ctx context.Context, startedAt time.Time, info RequestInfo, route *routetable.Route) (context.Context, context.CancelFunc, time.Time) {
 	limit := route.Timeout
-	if env.Timeout > 0 && (limit <= 0 || env.Timeout < limit) {
-		limit = env.Timeout
+	if info.Timeout > 0 && (limit <= 0 || info.Timeout < limit) {
+		limit = info.Timeout
 	}
 	if limit <= 0 {
 		limit = DefaultTimeout
 	}
-	end := begun.Add(limit)
+	end := startedAt.Add(limit)
 	ctx, cancel := context.WithDeadline(ctx, end)
 	return ctx, cancel, end
 }
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -24,10 +24,10 @@
 	"github.com/briarturn/briarturn/warmup"
 )
 
-// Headers of the tests' own protocol.
+// Headers of the test protocol.
 const (
 	hID        = "T-Id"
-	hPatience  = "T-Patience"
+	hTimeout   = "T-Patience"
 	hKey       = "T-Key"
 	hWorkspace = "T-Workspace"
 	hInstance  = "T-Instance"
@@ -41,12 +41,12 @@
 func (testProtocol) DecodeRequest(h http.Header) (RequestInfo, error) {
 	e := RequestInfo{ID: h.Get(hID), APIKey: h.Get(hKey), LastEventID: h.Get(hLastEvent)}
 	if e.ID == "" {
-		return e, errors.New("no id")
+		return e, errors.New("no request ID")
 	}
 	if tokens, err := strconv.Atoi(h.Get(hPrompt)); err == nil {
 		e.Prompt.InputTokens = tokens
 	}
-	if ms, err := strconv.Atoi(h.Get(hPatience)); err == nil {
+	if ms, err := strconv.Atoi(h.Get(hTimeout)); err == nil {
 		e.Timeout = time.Duration(ms) * time.Millisecond
 	}
 	return e, nil
@@ -55,7 +55,7 @@
 func (testProtocol) EncodeAttempt(h http.Header, a AttemptInfo) {
 	h.Del(hKey)
 	h.Del(hWorkspace)
-	h.Set(hPatience, strconv.FormatInt(a.Timeout.Milliseconds(), 10))
+	h.Set(hTimeout, strconv.FormatInt(a.Timeout.Milliseconds(), 10))
 	h.Set(hInstance, a.Instance)
 	if a.Workspace != "" {
 		h.Set(hWorkspace, a.Workspace)
@@ -69,30 +69,31 @@
 	return ResponseInfo{ID: h.Get(hID), NotRun: h.Get(hNotRun) != ""}
 }
 
-// world is a gateway before some backend servers.
-type world struct {
+// testGateway is a Gateway in front of some backend servers.
+type testGateway struct {
 	t         testing.TB
 	gateway   *Gateway
-	front     *httptest.Server
+	server    *httptest.Server
 	directory *upstream.Directory
 	clock     *boottime.Instant
 	routes    *routetable.Holder
 	zones     *evacuation.Zones
 	warmup    *warmup.Limiter
-	witness   *witness
+	deaths    *deathRecorder
 
-	mu   sync.Mutex
-	seen []string // "server id" of each arrival, in order
+	mu         sync.Mutex
+	arrivalLog []string // "server id" of each request that arrived at a server, in order
 }
 
-type witness struct{ records []quarantine.Record }
+type deathRecorder struct{ records []quarantine.Record }
 
-func (w *witness) ReportDeath(r quarantine.Record) { w.records = append(w.records, r) }
+func (d *deathRecorder) ReportDeath(r quarantine.Record) { d.records = append(d.records, r) }
 
-// inOrder places on the first candidate by instance, so that tests know where.
-type inOrder struct{ planner *placement.Planner }
+// firstPlacer places on the candidate whose instance name is first in order, so that
+// tests know the server.
+type firstPlacer struct{ planner *placement.Planner }
 
-func (p inOrder) Place(q placement.Query, candidates []placement.Candidate) (placement.Placement, placement.Decision) {
+func (p firstPlacer) Place(q placement.Query, candidates []placement.Candidate) (placement.Placement, placement.Decision) {
 	first := -1
 	for i, c := range candidates {
 		if first < 0 || c.Instance < candidates[first].Instance {
@@ -105,51 +106,54 @@
 	return p.planner.Place(q, candidates[first:first+1])
 }
 
-// newWorld has three routes on host h: /safe/, /once/ and /stream/, all of service s
-// with two attempts, and /keyed/, which needs a key.
-func newWorld(t testing.TB, servers ...http.HandlerFunc) *world {
+// newTestGateway starts a gateway without a configuration in front of one backend server
+// per handler. The servers are instances s1, s2 and so on of service s.
+func newTestGateway(t testing.TB, servers ...http.HandlerFunc) *testGateway {
 	t.Helper()
 	now := boottime.Instant(time.Hour)
-	w := &world{t: t, clock: &now, directory: upstream.NewDirectory(0), witness: &witness{}}
-	w.zones = evacuation.NewZones(func() boottime.Instant { return *w.clock })
-	w.zones.Replace(nil, now)
-	w.warmup = warmup.NewLimiter("e1", time.Now().Add(-time.Minute))
-	w.warmup.SetEntries(nil, time.Now())
-	w.routes = routetable.NewHolder(func() boottime.Instant { return *w.clock })
+	gw := &testGateway{t: t, clock: &now, directory: upstream.NewDirectory(0), deaths: &deathRecorder{}}
+	gw.zones = evacuation.NewZones(func() boottime.Instant { return *gw.clock })
+	gw.zones.Replace(nil, now)
+	gw.warmup = warmup.NewLimiter("e1", time.Now().Add(-time.Minute))
+	gw.warmup.SetEntries(nil, time.Now())
+	gw.routes = routetable.NewHolder(func() boottime.Instant { return *gw.clock })
 	r := metrics.NewRegistry()
 	ledger := placement.NewLedger(func(uint64) *placement.EngineProfile { return nil })
-	w.gateway = New(Config{
+	gw.gateway = New(Config{
 		Protocol:      testProtocol{},
-		Routes:        w.routes,
-		Directory:     w.directory,
-		Zones:         w.zones,
-		Warmup:        w.warmup,
+		Routes:        gw.routes,
+		Directory:     gw.directory,
+		Zones:         gw.zones,
+		Warmup:        gw.warmup,
 		Pool:          upstream.NewPool(r),
-		Placer:        inOrder{placement.NewPlanner(ledger, 1, time.Now, nil)},
+		Placer:        firstPlacer{placement.NewPlanner(ledger, 1, time.Now, nil)},
 		Budget:        NewRetryBudget(0, 1000, time.Minute, 1),
 		Quarantine:    quarantine.NewTracker(QuarantineOptions()),
-		DeathReporter: w.witness,
+		DeathReporter: gw.deaths,
 		Log:           quiet.Logger(),
 		Metrics:       r,
 	})
 	for i, handler := range servers {
 		name := fmt.Sprintf("s%d", i+1)
 		backend := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-			w.mu.Lock()
-			w.seen = append(w.seen, name+" "+r.Header.Get(hID))
-			w.mu.Unlock()
+			gw.mu.Lock()
+			gw.arrivalLog = append(gw.arrivalLog, name+" "+r.Header.Get(hID))
+			gw.mu.Unlock()
 			rw.Header().Set(hID, r.Header.Get(hID))
 			handler(rw, r)
 		}))
 		t.Cleanup(backend.Close)
-		w.directory.Put(upstream.Server{Instance: name, Service: "s", Address: backend.Listener.Addr().String(), Capacity: 4})
+		gw.directory.Put(upstream.Server{Instance: name, Service: "s", Address: backend.Listener.Addr().String(), Capacity: 4})
 	}
-	w.front = httptest.NewServer(w.gateway)
-	t.Cleanup(w.front.Close)
-	return w
+	gw.server = httptest.NewServer(gw.gateway)
+	t.Cleanup(gw.server.Close)
+	return gw
 }
 
-func declared(revision uint64) routetable.Config {
+// sampleConfig has five routes on host h, all of service s with two attempts: /safe/ is
+// idempotent, /once/ is not, /stream/ is a resumable stream, /whole/ is a stream that is
+// not resumable, and /keyed/ needs a key.
+func sampleConfig(revision uint64) routetable.Config {
 	route := func(prefix string, kind routetable.Kind) routetable.Route {
 		return routetable.Route{
 			Name: prefix, Host: "h", Prefix: prefix, Kind: kind, Public: true, MaxAttempts: 2,
@@ -168,18 +172,19 @@
 	}
 }
 
-// configured puts the sample configuration in force.
-func (w *world) configured() *world {
-	w.routes.Offer(routetable.New(declared(1)), *w.clock)
-	return w
+// withSampleConfig puts the sample configuration in force.
+func (gw *testGateway) withSampleConfig() *testGateway {
+	gw.routes.Offer(routetable.New(sampleConfig(1)), *gw.clock)
+	return gw
 }
 
-// ask sends one request on a connection of its own.
-func (w *world) ask(method, path, body string, headers ...string) (*http.Response, string, error) {
-	w.t.Helper()
-	r, err := http.NewRequest(method, w.front.URL+path, strings.NewReader(body))
+// send sends one request on a connection of its own and returns the response and its
+// body.
+func (gw *testGateway) send(method, path, body string, headers ...string) (*http.Response, string, error) {
+	gw.t.Helper()
+	r, err := http.NewRequest(method, gw.server.URL+path, strings.NewReader(body))
 	if err != nil {
-		w.t.Fatal(err)
+		gw.t.Fatal(err)
 	}
 	r.Host = "h"
 	r.Header.Set(hID, "id-1")
@@ -196,57 +201,57 @@
 	return response, string(got), err
 }
 
-func (w *world) arrivals() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return strings.Join(w.seen, ", ")
+func (gw *testGateway) arrivals() string {
+	gw.mu.Lock()
+	defer gw.mu.Unlock()
+	return strings.Join(gw.arrivalLog, ", ")
 }
 
-func (w *world) wantArrivals(want string) {
-	w.t.Helper()
-	if got := w.arrivals(); got != want {
-		w.t.Errorf("arrivals %q, want %q", got, want)
+func (gw *testGateway) wantArrivals(want string) {
+	gw.t.Helper()
+	if got := gw.arrivals(); got != want {
+		gw.t.Errorf("arrivals %q, want %q", got, want)
 	}
 }
 
 func wantStatus(t *testing.T, r *http.Response, err error, want int) {
 	t.Helper()
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
 	if r.StatusCode != want {
 		t.Fatalf("status %d, want %d", r.StatusCode, want)
 	}
 }
 
-func answers(text string) http.HandlerFunc {
+func respondWith(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, text) }
 }
 
-func refuses(w http.ResponseWriter, _ *http.Request) {
+func respondNotRun(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(hNotRun, "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// breaks closes the connection without a byte of an answer.
-func breaks(w http.ResponseWriter, _ *http.Request) { cut(w) }
+// dropConnection closes the connection without sending a byte of a response.
+func dropConnection(w http.ResponseWriter, _ *http.Request) { closeConnection(w) }
 
-func cut(w http.ResponseWriter) {
+func closeConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
 		_ = conn.Close()
 	}
 }
 
-// events streams the events from to to, and then breaks off in the middle of the
-// next one if torn.
-func events(from, to int, torn bool) http.HandlerFunc {
+// streamEvents returns a handler that sends the events from to to. If truncated, it then
+// breaks off in the middle of the next event.
+func streamEvents(from, to int, truncated bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		for i := from; i <= to; i++ {
 			_, _ = fmt.Fprintf(w, "id: %d\ndata: piece %d\n\n", i, i)
 		}
-		if !torn {
+		if !truncated {
 			return
 		}
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: pie", to+1)
@@ -255,7 +260,7 @@
 	}
 }
 
-func wantEvents(from, to int) string {
+func eventText(from, to int) string {
 	var b strings.Builder
 	for i := from; i <= to; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: piece %d\n\n", i, i)
--- a/gateway/memory.go
+++ b/gateway/memory.go
@@ -11,93 +11,94 @@
 	"github.com/briarturn/briarturn/reservation"
 )
 
-// memoryPause is the wait before memory is looked for again. Streams end, and free
-// theirs, several times a second.
-const memoryPause = 60 * time.Millisecond
+// memoryRetryInterval is the pause before the gateway looks for free memory again.
+// Streams end and free their memory several times a second.
+const memoryRetryInterval = 60 * time.Millisecond
 
-// placeWithMemory places an attempt, and where the prompt is kept on several
-// servers reserves their memory first. It waits for memory for a bounded time, and
-// for a moment at which it costs the others less for as long as the placer says. A request
-// whose answer can't come in its caller's time, or that operators have left no server, is
-// given up at once.
-func (e *exchange) placeWithMemory(ctx context.Context) (*run, bool) {
+// placeAndReserve places an attempt and reserves memory first if several servers hold the
+// prompt. It waits for free memory up to MemoryWait. If the placer defers the request
+// until it delays other requests less, it waits as long as the placer asks. It returns
+// false at once if the response can't come before the deadline or if operators have left
+// the request no server. A request without a prompt does not wait.
+func (e *exchange) placeAndReserve(ctx context.Context) (*placedAttempt, bool) {
 	until := time.Now().Add(e.gateway.cfg.Options.MemoryWait)
 	for {
-		r, place, answer := e.placeOnce(ctx)
+		r, placed, decision := e.tryPlaceAndReserve(ctx)
 		switch {
 		case r != nil:
 			return r, true
-		case e.keptOut.ByOperator():
+		case e.exclusionCause.ByOperator():
 			return nil, false
-		case answer == placement.DeadlineUnmeetable:
-			e.tooLate = place.Forecast
+		case decision == placement.DeadlineUnmeetable:
+			e.lateForecast = placed.Forecast
 			return nil, false
-		case answer != placement.Deferred && time.Now().After(until):
+		case decision != placement.Deferred && time.Now().After(until):
 			return nil, false
-		case e.env.Prompt.InputTokens == 0 || !sleep.For(ctx, memoryPause):
+		case e.info.Prompt.InputTokens == 0 || !sleep.For(ctx, memoryRetryInterval):
 			return nil, false
 		}
 	}
 }
 
-// placeOnce places an attempt and reserves its memory, without a wait. Where it may not be
-// sent there any more by then it is placed anew.
-func (e *exchange) placeOnce(ctx context.Context) (*run, placement.Placement, placement.Decision) {
-	for range clearTries {
-		place, answer := e.place()
-		if answer != placement.Placed {
-			return nil, place, answer
+// tryPlaceAndReserve places an attempt and reserves its memory without waiting. It places
+// the attempt again if the servers have become ineligible in the meantime.
+func (e *exchange) tryPlaceAndReserve(ctx context.Context) (*placedAttempt, placement.Placement, placement.Decision) {
+	for range maxPlacementTries {
+		placed, decision := e.place()
+		if decision != placement.Placed {
+			return nil, placed, decision
 		}
-		held, err := e.reserve(ctx, place)
+		reserved, err := e.reserveMemory(ctx, placed)
 		if err != nil {
-			place.End()
-			return nil, place, placement.NoCapacity
+			placed.End()
+			return nil, placed, placement.NoCapacity
 		}
-		r := &run{Placement: place, memory: held}
-		if e.clear(place) {
-			return r, place, answer
+		r := &placedAttempt{Placement: placed, reservation: reserved}
+		if e.stillEligible(placed) {
+			return r, placed, decision
 		}
-		r.end()
+		r.release()
 	}
 	return nil, placement.Placement{}, placement.NoCapacity
 }
 
-// reserve sets the memory of a placement aside; most need none.
-func (e *exchange) reserve(ctx context.Context, place placement.Placement) (*reservation.Reservation, error) {
-	if len(place.Holders) == 0 {
+// reserveMemory reserves the memory of a placement. It returns nil if the placement needs
+// none, as most do.
+func (e *exchange) reserveMemory(ctx context.Context, placed placement.Placement) (*reservation.Reservation, error) {
+	if len(placed.Holders) == 0 {
 		return nil, nil
 	}
-	parts := make([]reservation.Part, len(place.Holders))
-	for i, h := range place.Holders {
+	parts := make([]reservation.Part, len(placed.Holders))
+	for i, h := range placed.Holders {
 		parts[i] = reservation.Part{
 			Engine: reservation.Engine{Address: h.Address, Instance: h.Instance},
-			Tokens: place.HolderTokens,
+			Tokens: placed.HolderTokens,
 		}
 	}
-	held, failed, err := e.gateway.cfg.Reserver.Acquire(ctx, e.env.ID, parts)
+	reserved, failed, err := e.gateway.cfg.Reserver.Acquire(ctx, e.info.ID, parts)
 	if err != nil {
-		place.HolderRefused(failed)
+		placed.HolderRefused(failed)
 		e.gateway.cfg.Log.WithError(err).WithFields(logrus.Fields{
-			"request": e.env.ID, "holders": len(parts), "tokens_each": place.HolderTokens,
+			"request": e.info.ID, "holders": len(parts), "tokens_each": placed.HolderTokens,
 		}).Info("memory not reserved")
 		return nil, err
 	}
-	return held, nil
+	return reserved, nil
 }
 
-// helpersOf lists the servers that help the answering one. Where memory is
-// reserved the holders go first, the answering server before all: reservations are
-// filled in turn.
-func helpersOf(place placement.Placement, held *reservation.Reservation) []Helper {
+// helpersOf lists the servers that help the answering server. If memory is reserved, the
+// holders come first, beginning with the answering server, because reservations are
+// filled in this order.
+func helpersOf(placed placement.Placement, reserved *reservation.Reservation) []Helper {
 	var out []Helper
 	listed := map[string]bool{}
-	if held != nil {
-		for _, p := range held.Parts {
+	if reserved != nil {
+		for _, p := range reserved.Parts {
 			out = append(out, Helper{Address: p.Engine.Address, ReservationID: p.ID})
 			listed[p.Engine.Address] = true
 		}
 	}
-	for _, h := range place.Helpers {
+	for _, h := range placed.Helpers {
 		if !listed[h.Address] {
 			out = append(out, Helper{Address: h.Address})
 		}
--- a/gateway/memory_test.go
+++ b/gateway/memory_test.go
@@ -11,60 +11,62 @@
 	"github.com/briarturn/briarturn/placement"
 )
 
-// full has no room for anything, and counts how often it was asked.
-type full struct{ asked atomic.Int64 }
+// noCapacityPlacer reports for every request that there is no capacity, and counts its
+// calls.
+type noCapacityPlacer struct{ calls atomic.Int64 }
 
-func (f *full) Place(placement.Query, []placement.Candidate) (placement.Placement, placement.Decision) {
-	f.asked.Add(1)
+func (f *noCapacityPlacer) Place(placement.Query, []placement.Candidate) (placement.Placement, placement.Decision) {
+	f.calls.Add(1)
 	return placement.Placement{}, placement.NoCapacity
 }
 
-// Symptom: in a burst of long prompts few requests of any size come in time.
-// Sequence: all memory is taken; prompts that need the most wait at the gateways and
-// take each room as it becomes free.
-// Cause: a prompt without room waited for most of its objective, and was refused when
-// its caller could no longer be on time.
-func TestPromptWithoutRoomIsRefusedSoon(t *testing.T) {
-	w := newWorld(t, answers("ok")).configured()
-	placer := &full{}
-	w.gateway.cfg.Placer = placer
-	r, _, err := w.ask(http.MethodPost, "/stream/", "body", hPrompt, "300000")
+// Guards against a burst of long prompts after which few requests of any size are on
+// time. All memory is in use, and the prompts that need the most wait at the gateways and
+// take memory as it becomes free. A prompt without capacity waited for most of its
+// objective and was refused when it could no longer be on time.
+func TestPromptWithoutCapacityIsRefusedEarly(t *testing.T) {
+	gw := newTestGateway(t, respondWith("ok")).withSampleConfig()
+	placer := &noCapacityPlacer{}
+	gw.gateway.cfg.Placer = placer
+	r, _, err := gw.send(http.MethodPost, "/stream/", "body", hPrompt, "300000")
 	wantStatus(t, r, err, http.StatusServiceUnavailable)
 	if r.Header.Get("Retry-After") == "" {
-		t.Error("the caller isn't told when to come back")
+		t.Error("the response has no Retry-After header")
 	}
-	const looks = DefaultMemoryWait/memoryPause + 2
-	if n := placer.asked.Load(); n > int64(looks) {
-		t.Errorf("room was looked for %d times, want %d at most", n, looks)
+	const maxCalls = DefaultMemoryWait/memoryRetryInterval + 2
+	if n := placer.calls.Load(); n > int64(maxCalls) {
+		t.Errorf("the placer was called %d times, want %d at most", n, maxCalls)
 	}
 }
 
-// late says of every request that its answer would come too late.
-type late struct{ asked atomic.Int64 }
+// tooLatePlacer reports for every request that its response would come after the
+// deadline.
+type tooLatePlacer struct{ calls atomic.Int64 }
 
-func (l *late) Place(placement.Query, []placement.Candidate) (placement.Placement, placement.Decision) {
-	l.asked.Add(1)
+func (l *tooLatePlacer) Place(placement.Query, []placement.Candidate) (placement.Placement, placement.Decision) {
+	l.calls.Add(1)
 	return placement.Placement{Forecast: time.Minute}, placement.DeadlineUnmeetable
 }
 
-// Symptom: a caller waits for fifteen seconds and gets nothing, and so do those beside it.
-// Sequence: a prompt comes whose first token is forecast for long after its caller's time.
-// Cause: it was held, and placed in the end, though that couldn't be of use.
-func TestRequestThatCannotBeInTimeIsRefusedAtOnce(t *testing.T) {
-	w := newWorld(t, answers("ok")).configured()
-	placer := &late{}
-	w.gateway.cfg.Placer = placer
-	r, body, err := w.ask(http.MethodPost, "/stream/", "body", hPrompt, "300000", hPatience, "5000")
+// Guards against a caller that waits for fifteen seconds and gets no response, and delays
+// the requests beside it. The first token of its prompt is forecast for long after its
+// deadline. The prompt was held and placed in the end although it could no longer
+// succeed.
+func TestUnmeetableDeadlineIsRefusedAtOnce(t *testing.T) {
+	gw := newTestGateway(t, respondWith("ok")).withSampleConfig()
+	placer := &tooLatePlacer{}
+	gw.gateway.cfg.Placer = placer
+	r, body, err := gw.send(http.MethodPost, "/stream/", "body", hPrompt, "300000", hTimeout, "5000")
 	wantStatus(t, r, err, http.StatusServiceUnavailable)
 	if !strings.Contains(body, string(ReasonDeadlineUnmeetable)) || !strings.Contains(body, "not_run") {
 		t.Errorf("body %q", body)
 	}
-	const excess = 55 // seconds that a minute is beyond its patience
+	const excess = 55 // seconds by which a minute exceeds the timeout
 	if after, err := strconv.ParseFloat(r.Header.Get("Retry-After"), 64); err != nil || after < excess {
 		t.Errorf("Retry-After %q, want %d s or more", r.Header.Get("Retry-After"), excess)
 	}
-	if n := placer.asked.Load(); n != 1 {
-		t.Errorf("it was asked %d times for a place", n)
+	if n := placer.calls.Load(); n != 1 {
+		t.Errorf("the placer was called %d times", n)
 	}
-	w.wantArrivals("")
+	gw.wantArrivals("")
 }
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -4,47 +4,47 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// tally counts what the gateway decides.
-type tally struct {
-	requests   metrics.Counter
-	refused    map[Reason]metrics.Counter // fixed after newTally
-	attempts   metrics.Counter
-	again      metrics.Counter // sends beyond the first
-	givenUp    metrics.Counter // ended because they had not begun
-	resumed    metrics.Counter
-	broken     metrics.Counter // answers that ended early
-	overBudget metrics.Counter
-	gone       metrics.Counter // callers that left first
-	deaths     metrics.Counter // servers that died under a request
-	latency    metrics.Histogram
+// counters holds the metrics of what the gateway decides.
+type counters struct {
+	requests          metrics.Counter
+	refused           map[Reason]metrics.Counter // not changed after newCounters
+	attempts          metrics.Counter
+	retries           metrics.Counter // sends of a request beyond its first
+	neverStarted      metrics.Counter // attempts ended because they had not begun
+	resumedStreams    metrics.Counter
+	brokenResponses   metrics.Counter // responses that ended early
+	retriesOverBudget metrics.Counter
+	callersGone       metrics.Counter // callers that disconnected first
+	serverDeaths      metrics.Counter // servers that died while running a request
+	firstByteLatency  metrics.Histogram
 }
 
-// sampleSize and sampleAlpha are those that go-metrics recommends for latencies.
+// sampleSize and sampleAlpha are the values that go-metrics recommends for latencies.
 const (
 	sampleSize  = 1028
 	sampleAlpha = 0.015
 )
 
-func newTally(r metrics.Registry) tally {
+func newCounters(r metrics.Registry) counters {
 	if r == nil {
 		r = metrics.NewRegistry()
 	}
 	counter := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter("gateway."+name, r) }
-	t := tally{
-		requests:   counter("requests"),
-		refused:    map[Reason]metrics.Counter{},
-		attempts:   counter("attempts"),
-		again:      counter("attempts.again"),
-		givenUp:    counter("attempts.given_up"),
-		resumed:    counter("streams.resumed"),
-		broken:     counter("answers.broken"),
-		overBudget: counter("retries.over_budget"),
-		gone:       counter("callers.gone"),
-		deaths:     counter("servers.died"),
-		latency: metrics.GetOrRegisterHistogram("gateway.first_byte_ms", r,
+	t := counters{
+		requests:          counter("requests"),
+		refused:           map[Reason]metrics.Counter{},
+		attempts:          counter("attempts"),
+		retries:           counter("attempts.again"),
+		neverStarted:      counter("attempts.given_up"),
+		resumedStreams:    counter("streams.resumed"),
+		brokenResponses:   counter("answers.broken"),
+		retriesOverBudget: counter("retries.over_budget"),
+		callersGone:       counter("callers.gone"),
+		serverDeaths:      counter("servers.died"),
+		firstByteLatency: metrics.GetOrRegisterHistogram("gateway.first_byte_ms", r,
 			metrics.NewExpDecaySample(sampleSize, sampleAlpha)),
 	}
-	for _, reason := range reasons {
+	for _, reason := range allReasons {
 		t.refused[reason] = counter("refused." + string(reason))
 	}
 	return t
--- a/gateway/options.go
+++ b/gateway/options.go
@@ -6,69 +6,76 @@
 )
 
 const (
-	// DefaultTimeout bounds a request whose route and caller give no time limit.
+	// DefaultTimeout is the time limit of a request whose route and caller set none.
 	DefaultTimeout = 30 * time.Second
-	// DefaultBodyBytes bounds a body where the configuration sets no limit.
+	// DefaultBodyBytes is the largest request body in bytes if the configuration sets no
+	// limit.
 	DefaultBodyBytes = 4 << 20
-	// answerBuffer is the largest answer of a plain service that is read whole
-	// before the caller gets any of it, so that one that breaks off can be replaced.
-	answerBuffer = 1 << 20
+	// maxBufferedResponse is the size in bytes up to which a response that is not a
+	// stream is read completely before the caller gets any of it. If such a response
+	// breaks off, another server can be tried.
+	maxBufferedResponse = 1 << 20
 )
 
 // Defaults of Options.
 const (
-	// DefaultKeyAge leaves half a second of the five in which operators expect a
-	// removed key to be refused everywhere. The proof counts from before the store was
-	// asked and a request was sent before it is judged, so that no more than the drift
-	// of a clock has to fit in what is left.
+	// DefaultKeyAge leaves half a second of the five seconds within which operators
+	// expect a removed key to be refused everywhere. The age counts from before the store
+	// was queried, and a caller sends a request before the gateway checks its key, so
+	// only clock drift has to fit into that half second.
 	DefaultKeyAge = 4500 * time.Millisecond
 	// DefaultBodiesBytes is a quarter of the memory of the smallest entry VM, 184 MB.
 	DefaultBodiesBytes = 48 << 20
 	// DefaultBodyTimeout is a hundred times what the longest prompt, 4 MB, takes at
 	// 40 MB/s.
 	DefaultBodyTimeout = 10 * time.Second
-	// DefaultWriteSlack is well over what an answer on its way takes.
+	// DefaultWriteSlack is well above the time that a response in transit needs.
 	DefaultWriteSlack = 2 * time.Second
-	// DefaultRetryAfter: a refusal comes from a state that passes within a second, such
-	// as a server that is full or leaving.
+	// DefaultRetryAfter is short because a refusal comes from a state that passes within
+	// a second, such as a server that is full or shutting down.
 	DefaultRetryAfter = 300 * time.Millisecond
-	// DefaultStaleRetryAfter: an outage of the store takes seconds, and other entries
-	// are asked meanwhile.
+	// DefaultStaleRetryAfter is longer because an outage of the store lasts seconds.
+	// Meanwhile callers use other entries.
 	DefaultStaleRetryAfter = time.Second
-	// DefaultDeclaredRetryAfter: operators have left no server for the request, and change
-	// that in seconds at the soonest.
+	// DefaultDeclaredRetryAfter applies where operators have left no server for the
+	// request. They change that within seconds at the earliest.
 	DefaultDeclaredRetryAfter = time.Second
-	// DefaultPoisonRetryAfter: sooner, a request that kills servers would only be
-	// refused again.
+	// DefaultPoisonRetryAfter is long because a request that kills servers would only be
+	// refused again if it came back sooner.
 	DefaultPoisonRetryAfter = 30 * time.Second
-	// DefaultConnectTries: nothing was sent, so that only the caller's time is lost.
+	// DefaultConnectTries allows several connection attempts: nothing has been sent yet,
+	// so they cost only the caller's time.
 	DefaultConnectTries = 4
-	// DefaultMemoryWait: where no memory is free the fleet is full of long prompts, and
-	// one more that waits at hand takes the next room from shorter ones that come in
-	// time.
+	// DefaultMemoryWait is short. Where no memory is free, the fleet is full of long
+	// prompts. Another long prompt that keeps waiting takes the next free memory from
+	// shorter prompts that would still be on time.
 	DefaultMemoryWait = 150 * time.Millisecond
 )
 
-// Options tune a Gateway. Zero values take the defaults.
+// Options configure a Gateway. Values that are zero or negative take the defaults.
 type Options struct {
-	// KeyAge is how old the proof that the configuration is current may be for
-	// requests that need a key.
+	// KeyAge is the age of the last proof that the configuration is current above which
+	// requests that need an API key are refused.
 	KeyAge time.Duration
-	// BodiesBytes bounds the request bodies that are held at a time.
+	// BodiesBytes is the total size of the request bodies in memory, in bytes, above
+	// which requests are refused.
 	BodiesBytes int64
-	// BodyTimeout bounds how long a caller takes to send a body; without it one that
-	// stops in the middle holds its connection and its memory for ever.
+	// BodyTimeout is how long a caller may take to send a body. Without it a caller that
+	// stops in the middle would hold its connection and its memory forever.
 	BodyTimeout time.Duration
-	// WriteSlack is how long past the end of its time a caller's connection may still
-	// take an answer. One that reads nothing would hold the request for ever.
+	// WriteSlack is how long after a request's deadline the response may still be written
+	// to the caller's connection. Without it a caller that reads nothing would hold the
+	// request forever.
 	WriteSlack time.Duration
-	// RetryAfter is when a caller that was refused may come back; StaleRetryAfter the
-	// same where the configuration is too old, PoisonRetryAfter for a request that
-	// kills servers, DeclaredRetryAfter for one that operators have left no server.
+	// RetryAfter is the delay after which a refused caller may retry. StaleRetryAfter is
+	// the same if the configuration is too old, PoisonRetryAfter for a request that kills
+	// servers, and DeclaredRetryAfter for a request that operators have left no server.
 	RetryAfter, StaleRetryAfter, PoisonRetryAfter, DeclaredRetryAfter time.Duration
-	// ConnectTries is how many servers are dialled in vain for one attempt of a caller.
+	// ConnectTries is the number of servers that can't be connected to after which a
+	// request is not sent to any other.
 	ConnectTries int
-	// MemoryWait is how long memory is looked for before the caller is refused.
+	// MemoryWait is how long the gateway looks for free memory before it refuses a
+	// request.
 	MemoryWait time.Duration
 }
 
--- a/gateway/protocol.go
+++ b/gateway/protocol.go
@@ -5,54 +5,55 @@
 	"time"
 )
 
-// RequestInfo is what a caller says of a request in its headers.
+// RequestInfo is what the headers of a caller's request state.
 type RequestInfo struct {
-	ID          string        // of this attempt of the caller; an answer carries it
-	Timeout     time.Duration // how long the caller waits; 0: not said
-	APIKey      string        // API key
-	LastEventID string        // the stream goes on behind this event; empty: from its start
-	Prompt      Prompt        // zero for a request without one
+	ID          string        // of the caller's attempt; the response carries it
+	Timeout     time.Duration // how long the caller waits; 0 if not given
+	APIKey      string
+	LastEventID string // the stream resumes after this event; empty: from its start
+	Prompt      Prompt // zero if the request has none
 }
 
-// Prompt is the size of a prompt.
+// Prompt is the size of a prompt in tokens.
 type Prompt struct {
 	InputTokens     int
-	MaxOutputTokens int // at most
+	MaxOutputTokens int // limit of the response
 }
 
 // AttemptInfo is what one attempt adds to the caller's headers.
 type AttemptInfo struct {
-	Timeout       time.Duration // what is left of the caller's time
-	Instance      string        // the only instance that may run it
-	Workspace     string        // empty: none
+	Timeout       time.Duration // time left until the request's deadline
+	Instance      string        // the only instance that may run the attempt
+	Workspace     string        // empty if none
 	LastEventID   string
 	Helpers       []Helper // servers that read parts of the prompt
-	QueuePriority int      // 0 is first; negative: not said
+	QueuePriority int      // 0 is the highest; negative: not sent
 }
 
-// Helper is a server that reads a part of a prompt for another one.
+// Helper is a server that reads a part of a prompt for another server.
 type Helper struct {
 	Address       string
-	ReservationID string // reservation that holds the part; empty: none
+	ReservationID string // memory reservation for the part; empty if none
 }
 
-// ResponseInfo is what an answer's head says of the request, beside its status.
+// ResponseInfo is what the head of a response states about the request, besides the
+// status.
 type ResponseInfo struct {
-	ID     string // of the request it answers; empty: not said
-	NotRun bool   // the server promises that the request has not run and will not
-	// AtFault is the server that a refusal comes from, as the answering one names it:
-	// a helper may be what refused. Empty: not said.
+	ID     string // of the request that it answers; empty if not given
+	NotRun bool   // the server guarantees that the request has not run and will not run
+	// AtFault is the server that caused a refusal, as the answering server names it,
+	// because a helper may have refused. It is empty if not given.
 	AtFault string
 }
 
-// Protocol translates between headers and the gateway's types.
+// Protocol translates between HTTP headers and the gateway's types.
 type Protocol interface {
 	// DecodeRequest reads a caller's headers. An error means that the request is
 	// malformed.
 	DecodeRequest(h http.Header) (RequestInfo, error)
-	// EncodeAttempt turns the end-to-end headers of a caller into those of an attempt,
-	// in place: what only the system may say is replaced or removed.
+	// EncodeAttempt converts the end-to-end headers of a caller into those of an attempt,
+	// in place. It replaces or removes headers that only the system may set.
 	EncodeAttempt(h http.Header, a AttemptInfo)
-	// DecodeResponse reads the head of a server's answer.
+	// DecodeResponse reads the head of a server's response.
 	DecodeResponse(status int, h http.Header) ResponseInfo
 }
--- a/gateway/refusal.go
+++ b/gateway/refusal.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Reason says why the gateway answers by itself.
+// Reason says why the gateway answered a request itself.
 type Reason string
 
-// Reasons. Those with status 503 promise that the request has not run.
+// Reasons. Those with status 503 guarantee that the request has not run.
 const (
 	ReasonNoConfig           Reason = "no_configuration"
 	ReasonStaleConfig        Reason = "stale_configuration"
@@ -34,16 +34,16 @@
 	ReasonServersCold        Reason = "servers_cold"
 )
 
-var reasons = []Reason{
+var allReasons = []Reason{
 	ReasonNoConfig, ReasonStaleConfig, ReasonNoRoute, ReasonUnknownKey, ReasonMalformed, ReasonHeaderTooLarge, ReasonBodyTooLarge, ReasonBodyIncomplete,
 	ReasonBodyMemoryFull, ReasonNoServer, ReasonServersRefused, ReasonDeadlineUnmeetable, ReasonShuttingDown, ReasonTimeout, ReasonOutcomeUnknown, ReasonKillsServers,
 	ReasonOutOfRegion, ReasonZoneEvacuated, ReasonServersCold,
 }
 
-// Reasons returns every Reason.
-func Reasons() []Reason { return slices.Clone(reasons) }
+// Reasons returns all reasons.
+func Reasons() []Reason { return slices.Clone(allReasons) }
 
-// status of each reason's answer.
+// status returns the HTTP status of a refusal.
 func (r Reason) status() int {
 	switch r {
 	case ReasonNoRoute:
@@ -64,11 +64,12 @@
 	return http.StatusServiceUnavailable
 }
 
-// endingRetryAfter is when a caller may come back that an entry refused at its end: at
-// once, for the balancer takes it to another entry, which has room.
-const endingRetryAfter = 10 * time.Millisecond
+// shutdownRetryAfter is the delay after which a caller that was refused during a shutdown
+// may retry. It is short because the load balancer sends the retry to another entry,
+// which has capacity.
+const shutdownRetryAfter = 10 * time.Millisecond
 
-// retryAfter is when a caller that was refused may come back.
+// retryAfter returns the delay after which a refused caller may retry.
 func (r Reason) retryAfter(o Options) time.Duration {
 	switch r {
 	case ReasonStaleConfig:
@@ -76,27 +77,29 @@
 	case ReasonOutOfRegion, ReasonZoneEvacuated:
 		return o.DeclaredRetryAfter
 	case ReasonShuttingDown:
-		return endingRetryAfter
+		return shutdownRetryAfter
 	case ReasonKillsServers:
 		return o.PoisonRetryAfter
 	}
 	return o.RetryAfter
 }
 
-// RefuseShuttingDown answers a request that came after the gateway had ended.
-func RefuseShuttingDown(w http.ResponseWriter) { refuse(w, ReasonShuttingDown, endingRetryAfter) }
+// RefuseShuttingDown refuses a request that arrived after the gateway had shut down.
+func RefuseShuttingDown(w http.ResponseWriter) {
+	writeRefusal(w, ReasonShuttingDown, shutdownRetryAfter)
+}
 
-// refusal is the body of an answer of the gateway's own.
-type refusal struct {
+// refusalBody is the body of a response that the gateway writes itself.
+type refusalBody struct {
 	Error Reason `json:"error"`
 	Run   string `json:"run"` // not_run or outcome_unknown
 }
 
-// refuse answers for the gateway. after is when the caller may come back; it is
-// sent with a 503 only, in seconds with a fraction.
-func refuse(w http.ResponseWriter, reason Reason, after time.Duration) {
+// writeRefusal refuses a request. after is the delay after which the caller may retry. It
+// is sent with status 503 only, in seconds with a fraction.
+func writeRefusal(w http.ResponseWriter, reason Reason, after time.Duration) {
 	status := reason.status()
-	body := refusal{Error: reason, Run: "not_run"}
+	body := refusalBody{Error: reason, Run: "not_run"}
 	if reason == ReasonOutcomeUnknown || reason == ReasonTimeout {
 		body.Run = "outcome_unknown"
 	}
@@ -105,6 +108,6 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A failed write means that the caller is gone, which the context tells.
+	// A failed write means that the caller is gone, which the context reports.
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/gateway/requestlog.go
+++ b/gateway/requestlog.go
@@ -10,69 +10,69 @@
 	"github.com/briarturn/briarturn/placement"
 )
 
-// Outcomes of requests that were not refused; the others are a Reason.
+// Outcomes of requests that were not refused. The other outcomes are each a Reason.
 const (
-	outcomeAnswered = "answered"
-	outcomeGone     = "caller_gone" // the caller left first
-	outcomeBroken   = "broken_off"  // the answer ended early and couldn't be resumed
+	outcomeAnswered   = "answered"
+	outcomeCallerGone = "caller_gone" // the caller disconnected first
+	outcomeBrokenOff  = "broken_off"  // the response ended early and couldn't be resumed
 )
 
 // Limits that end the attempts of a request.
 const (
-	limitTime     = "time"     // the caller's or the route's
-	limitDials    = "dials"    // servers that could not be connected to
-	limitAttempts = "attempts" // of the route
-	limitBudget   = "budget"   // retries that all entries share
+	limitTime     = "time"     // timeout of the caller or the route
+	limitConnect  = "dials"    // servers that could not be connected to
+	limitAttempts = "attempts" // maximum number of attempts of the route
+	limitBudget   = "budget"   // retry budget that all entries share
 )
 
-// Sampler decides whether a routine line is written, and tells how many before it
-// were not.
+// Sampler decides whether a routine log line is written. Allow also returns the number of
+// lines that were skipped before it.
 type Sampler interface {
 	Allow() (skipped int64, ok bool)
 }
 
-// harmDigits rounds the harm in the log to hundredths.
-const harmDigits = 100
+// interferenceScale rounds the field harm of the log line to hundredths.
+const interferenceScale = 100
 
-// log writes the one line of a request: what decided it, and how it ended. Those
-// of requests that went well are thinned out under load; each tells how many
-// before it were not written.
+// log writes the log line of a request, with what decided it and how it ended. Lines of
+// successful requests are sampled under load; each reports the number of lines that were
+// skipped before it.
 func (e *exchange) log() {
 	skipped := int64(0)
-	if sampler := e.gateway.cfg.Sampler; sampler != nil && e.routine() {
+	if sampler := e.gateway.cfg.Sampler; sampler != nil && e.isRoutine() {
 		var ok bool
 		if skipped, ok = sampler.Allow(); !ok {
 			return
 		}
 	}
 	fields := logrus.Fields{
-		"request": e.env.ID, "outcome": e.outcome, "status": e.status, "revision": e.revision,
-		"age_ms": e.age.Milliseconds(), "took_ms": time.Since(e.begun).Milliseconds(),
-		"sends": e.sends, "dials": e.dials, "server": e.server,
+		"request": e.info.ID, "outcome": e.outcome, "status": e.status, "revision": e.revision,
+		"age_ms": e.configAge.Milliseconds(), "took_ms": time.Since(e.startedAt).Milliseconds(),
+		"sends": e.sends, "dials": e.connectFailures, "server": e.serverAddress,
 	}
 	if e.route != nil {
 		fields["route"] = e.route.Name
 		fields["objective_ms"] = e.route.Objective.Milliseconds()
 	}
-	if e.env.Prompt.InputTokens > 0 {
-		fields["tokens"] = e.env.Prompt.InputTokens
+	if e.info.Prompt.InputTokens > 0 {
+		fields["tokens"] = e.info.Prompt.InputTokens
 	}
-	if e.placed.PartTime > 0 {
-		fields["placed_ms"] = e.placedAt.Sub(e.begun).Milliseconds()
-		fields["spread"] = 1 + len(e.placed.Helpers)
-		fields["helpers"] = addressesOf(e.placed.Helpers)
-		fields["part_ms"] = e.placed.PartTime.Milliseconds()
-		fields["forecast_ms"] = e.placed.Forecast.Milliseconds()
-		fields["harm"] = math.Round(e.placed.Interference*harmDigits) / harmDigits
+	if e.placement.PartTime > 0 {
+		fields["placed_ms"] = e.placedAt.Sub(e.startedAt).Milliseconds()
+		fields["spread"] = 1 + len(e.placement.Helpers)
+		fields["helpers"] = addressesOf(e.placement.Helpers)
+		fields["part_ms"] = e.placement.PartTime.Milliseconds()
+		fields["forecast_ms"] = e.placement.Forecast.Milliseconds()
+		fields["harm"] = math.Round(e.placement.Interference*interferenceScale) / interferenceScale
 	}
-	if e.tooLate > 0 {
-		fields["forecast_ms"] = e.tooLate.Milliseconds()
+	if e.lateForecast > 0 {
+		fields["forecast_ms"] = e.lateForecast.Milliseconds()
 	}
-	if !e.firstOut.IsZero() {
-		fields["first_ms"] = e.firstOut.Sub(e.begun).Milliseconds()
+	if !e.firstByteAt.IsZero() {
+		fields["first_ms"] = e.firstByteAt.Sub(e.startedAt).Milliseconds()
 	}
 	if e.stream != nil {
-		fields["events"], fields["pause_ms"] = e.stream.events, e.stream.longest.Milliseconds()
+		fields["events"], fields["pause_ms"] = e.stream.events, e.stream.longestPause.Milliseconds()
 		fields["pause_limit_ms"] = e.route.PauseObjective.Milliseconds()
 	}
 	if e.limit != "" {
@@ -84,21 +84,21 @@
 	e.gateway.cfg.Log.WithFields(fields).Info("request")
 }
 
-// logRefused writes the line of an attempt that a server refused, and which server it
-// laid that to.
+// logRefused logs an attempt that a server refused, and the server that it named as the
+// cause.
 func (e *exchange) logRefused(status int, atFault string) {
 	e.gateway.cfg.Log.WithFields(logrus.Fields{
-		"request": e.env.ID, "server": e.server, "server_status": status, "at_fault": atFault,
+		"request": e.info.ID, "server": e.serverAddress, "server_status": status, "at_fault": atFault,
 	}).Info("attempt refused")
 }
 
-// logAnswer writes the line of an answer that is not the caller's.
-func (e *exchange) logAnswer(status int, message string) {
-	e.gateway.cfg.Log.WithFields(logrus.Fields{"request": e.env.ID, "server": e.server, "server_status": status}).Info(message)
+// logFailedResponse logs a response that broke off or reports an error of the server.
+func (e *exchange) logFailedResponse(status int, message string) {
+	e.gateway.cfg.Log.WithFields(logrus.Fields{"request": e.info.ID, "server": e.serverAddress, "server_status": status}).Info(message)
 }
 
-// routine reports whether the request went well at once.
-func (e *exchange) routine() bool {
+// isRoutine reports whether the request succeeded without a retry.
+func (e *exchange) isRoutine() bool {
 	return e.outcome == outcomeAnswered && e.status < http.StatusInternalServerError && e.sends <= 1
 }
 
--- a/gateway/requestlog_bench_test.go
+++ b/gateway/requestlog_bench_test.go
@@ -12,30 +12,31 @@
 	"github.com/briarturn/briarturn/routetable"
 )
 
-// counted counts the bytes of a log.
-type counted struct{ n atomic.Int64 }
+// byteCounter counts the bytes that are written to a log.
+type byteCounter struct{ n atomic.Int64 }
 
-func (c *counted) Write(p []byte) (int, error) {
+func (c *byteCounter) Write(p []byte) (int, error) {
 	c.n.Add(int64(len(p)))
 	return len(p), nil
 }
 
-// BenchmarkRequestLine is what the line of a request costs the one who serves it,
-// and its size. "left out" is a line that the sampler doesn't let pass.
+// BenchmarkRequestLine measures the time that the goroutine of a request spends on its
+// log line, and the size of the line. "left out" is a line that the sampler does not
+// allow.
 func BenchmarkRequestLine(b *testing.B) {
-	var out counted
+	var out byteCounter
 	queue := logqueue.New(&out, 1<<20)
 	logger := logrus.New()
 	logger.SetOutput(queue)
 	logger.SetFormatter(&logrus.JSONFormatter{})
 	e := &exchange{
-		gateway: &Gateway{cfg: Config{Log: logger.WithField("node", "front-hobart-1")}},
-		begun:   time.Now(), firstOut: time.Now(), outcome: outcomeAnswered, status: 200, sends: 1,
-		env:    RequestInfo{ID: "c1-000123.1", Prompt: Prompt{InputTokens: 23_800}},
-		route:  &routetable.Route{Name: "conflict-review"},
-		server: "10.1.0.40:8000", revision: 12,
-		placed: placement.Placement{PartTime: time.Second, Forecast: time.Second, Interference: 0.25},
-		stream: &relay{events: 120, longest: 90 * time.Millisecond},
+		gateway:   &Gateway{cfg: Config{Log: logger.WithField("node", "front-hobart-1")}},
+		startedAt: time.Now(), firstByteAt: time.Now(), outcome: outcomeAnswered, status: 200, sends: 1,
+		info:          RequestInfo{ID: "c1-000123.1", Prompt: Prompt{InputTokens: 23_800}},
+		route:         &routetable.Route{Name: "conflict-review"},
+		serverAddress: "10.1.0.40:8000", revision: 12,
+		placement: placement.Placement{PartTime: time.Second, Forecast: time.Second, Interference: 0.25},
+		stream:    &streamRelay{events: 120, longestPause: 90 * time.Millisecond},
 	}
 	b.Run("written", func(b *testing.B) {
 		before := out.n.Load()
@@ -44,7 +45,7 @@
 		}
 		b.ReportMetric(float64(out.n.Load()-before)/float64(b.N), "B/line")
 	})
-	e.gateway.cfg.Sampler = never{}
+	e.gateway.cfg.Sampler = denySampler{}
 	b.Run("left out", func(b *testing.B) {
 		for b.Loop() {
 			e.log()
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -9,54 +9,56 @@
 	"github.com/briarturn/briarturn/reservation"
 )
 
-// run is one attempt on the servers that were chosen for it, with the memory that is
-// reserved there.
-type run struct {
+// placedAttempt is an attempt on the servers that were chosen for it, with the memory
+// that is reserved on them.
+type placedAttempt struct {
 	placement.Placement
-	memory *reservation.Reservation // nil: none is reserved
-	writes bool                     // the first event has come
+	reservation    *reservation.Reservation // nil if no memory is reserved
+	firstEventSeen bool                     // an event of the stream has arrived
 }
 
-// context returns a context that ends with its parent, and when the engines say that
-// the run has not begun in time. Cancel it.
-func (r *run) context(parent context.Context) (context.Context, context.CancelFunc) {
-	if r.memory == nil {
+// context returns a context that ends with its parent, or when the engines report that
+// the attempt did not begin in time. Call the cancel function when done.
+func (r *placedAttempt) context(parent context.Context) (context.Context, context.CancelFunc) {
+	if r.reservation == nil {
 		return context.WithCancel(parent)
 	}
-	return r.memory.Context(parent)
+	return r.reservation.Context(parent)
 }
 
-// notBegun reports whether the context of a run ended because it has not begun.
-func notBegun(ctx context.Context) bool {
+// neverStarted reports whether the context of an attempt ended because the attempt did
+// not begin in time.
+func neverStarted(ctx context.Context) bool {
 	return errors.Is(context.Cause(ctx), reservation.ErrUnused)
 }
 
-// timeUp reports whether the caller's time is up or the caller gone, not only the time
-// of a run.
-func timeUp(ctx context.Context) bool { return ctx.Err() != nil && !notBegun(ctx) }
-
-// event takes an event of the stream. The first one of each run, not of the stream
-// alone, tells that its prompt is read and its memory in use: a resumed stream is read
-// again by other servers, which else would count as slow until its end.
-func (r *run) event() {
-	if !r.writes {
-		r.writes = true
-		r.firstToken()
+// requestEnded reports whether the request's deadline has passed or its caller is gone.
+// It returns false if only the attempt was ended because it did not begin.
+func requestEnded(ctx context.Context) bool { return ctx.Err() != nil && !neverStarted(ctx) }
+
+// recordEvent records an event of the stream. The first event of each attempt, not only
+// of the stream, shows that the prompt is read and its memory in use. The prompt of a
+// resumed stream is read again by other servers, which would otherwise count as slow
+// until the end of the stream.
+func (r *placedAttempt) recordEvent() {
+	if !r.firstEventSeen {
+		r.firstEventSeen = true
+		r.recordFirstToken()
 	}
 	r.Event()
 }
 
-func (r *run) firstToken() {
+func (r *placedAttempt) recordFirstToken() {
 	r.FirstToken()
-	if r.memory != nil {
-		r.memory.FirstToken()
+	if r.reservation != nil {
+		r.reservation.FirstToken()
 	}
 }
 
-// end gives back what the attempt took.
-func (r *run) end() {
+// release ends the placement of the attempt and releases its memory.
+func (r *placedAttempt) release() {
 	r.End()
-	if r.memory != nil {
-		r.memory.Release()
+	if r.reservation != nil {
+		r.reservation.Release()
 	}
 }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -15,129 +15,134 @@
 )
 
 const (
-	// eventRead is how much is read from a server at a time.
-	eventRead = 8 << 10
-	// eventMax bounds one event; a server that never ends one is taken for broken.
-	eventMax = 1 << 20
+	// readBufferSize is the number of bytes that are read from a server at a time.
+	readBufferSize = 8 << 10
+	// maxEventBytes is the size in bytes above which an event that has not ended makes
+	// the stream count as broken.
+	maxEventBytes = 1 << 20
 )
 
-// relay passes the events of a stream on, whole ones only: a server may stop in
-// the middle of one, and what follows from another server begins with a whole one.
-type relay struct {
-	e       *exchange
-	started bool   // the caller has the head
-	lastID  string // of the last event that the caller got
-	events  int
-	last    time.Time     // when the last event went out
-	longest time.Duration // longest pause between two events
-	pending []byte        // bytes of an event that isn't whole yet
-	buffer  []byte
+// streamRelay relays the events of a stream. It sends complete events only: a server may
+// stop in the middle of one, and the stream that another server resumes begins with a
+// complete one.
+type streamRelay struct {
+	exchange     *exchange
+	headSent     bool   // the caller has the response head
+	lastEventID  string // of the last event that the caller got
+	events       int
+	lastEventAt  time.Time     // when the last event was sent
+	longestPause time.Duration // longest pause between two events
+	pending      []byte        // bytes of an incomplete event
+	buffer       []byte
 }
 
-func newRelay(e *exchange) *relay { return &relay{e: e, buffer: make([]byte, eventRead)} }
+func newStreamRelay(e *exchange) *streamRelay {
+	return &streamRelay{exchange: e, buffer: make([]byte, readBufferSize)}
+}
 
-// passStream passes a stream on to its end or its break.
-func (e *exchange) passStream(ctx context.Context, run *run, r *upstream.Response) (step, Reason) {
+// relayStream relays a stream until it ends or breaks.
+func (e *exchange) relayStream(ctx context.Context, attempt *placedAttempt, r *upstream.Response) (nextStep, Reason) {
 	s := e.stream
 	s.pending = s.pending[:0]
-	if s.started {
-		e.gateway.tally.resumed.Inc(1)
+	if s.headSent {
+		e.gateway.counters.resumedStreams.Inc(1)
 	}
 	for {
 		n, err := r.Body.Read(s.buffer)
 		if n > 0 {
 			s.pending = append(s.pending, s.buffer[:n]...)
-			sent, writeErr := s.forward(r, run)
+			sent, writeErr := s.forwardEvents(r, attempt)
 			if writeErr != nil {
-				e.outcome = outcomeGone
-				return stop, ""
+				e.outcome = outcomeCallerGone
+				return stepDone, ""
 			}
-			if !sent && len(s.pending) > eventMax {
-				return e.broken(ctx)
+			if !sent && len(s.pending) > maxEventBytes {
+				return e.handleBrokenStream(ctx)
 			}
 		}
 		if err == io.EOF && len(s.pending) == 0 {
 			return s.complete(r)
 		}
 		if err != nil {
-			return e.broken(ctx)
+			return e.handleBrokenStream(ctx)
 		}
 	}
 }
 
-// complete ends an answer in good order.
-func (s *relay) complete(r *upstream.Response) (step, Reason) {
-	if !s.started { // a stream without events
-		s.begin(r)
+// complete ends a response normally.
+func (s *streamRelay) complete(r *upstream.Response) (nextStep, Reason) {
+	if !s.headSent { // a stream without events
+		s.sendHead(r)
 	}
-	s.e.outcome = outcomeAnswered
-	return stop, ""
+	s.exchange.outcome = outcomeAnswered
+	return stepDone, ""
 }
 
-func (s *relay) begin(r *upstream.Response) {
-	s.e.head(r.Status, r.Header, -1)
-	s.started = true
+func (s *streamRelay) sendHead(r *upstream.Response) {
+	s.exchange.writeHead(r.Status, r.Header, -1)
+	s.headSent = true
 }
 
-// broken follows a stream that ended before its time.
-func (e *exchange) broken(ctx context.Context) (step, Reason) {
+// handleBrokenStream handles a stream that ended early.
+func (e *exchange) handleBrokenStream(ctx context.Context) (nextStep, Reason) {
 	if e.incoming.Context().Err() != nil {
-		e.outcome = outcomeGone
-		e.gateway.tally.gone.Inc(1)
-		if e.stream.started {
+		e.outcome = outcomeCallerGone
+		e.gateway.counters.callersGone.Inc(1)
+		if e.stream.headSent {
 			panic(http.ErrAbortHandler)
 		}
-		return stop, ""
+		return stepDone, ""
 	}
 	e.gateway.cfg.Log.WithFields(logrus.Fields{
-		"request": e.env.ID, "server": e.server, "events": e.stream.events, "behind": e.stream.lastID, "deadline": timeUp(ctx),
+		"request": e.info.ID, "server": e.serverAddress, "events": e.stream.events, "behind": e.stream.lastEventID, "deadline": requestEnded(ctx),
 	}).Info("stream broke")
-	return e.after(request.AttemptOutcome{Sent: true, Deadline: timeUp(ctx)})
+	return e.decideNext(request.AttemptOutcome{Sent: true, Deadline: requestEnded(ctx)})
 }
 
-// forward gives the caller the whole events in pending that it hasn't got yet.
-func (s *relay) forward(r *upstream.Response, run *run) (sent bool, err error) {
+// forwardEvents sends the caller the complete events in pending that it does not have
+// yet, and reports whether there were any.
+func (s *streamRelay) forwardEvents(r *upstream.Response, attempt *placedAttempt) (sent bool, err error) {
 	for {
 		end := eventEnd(s.pending)
 		if end < 0 {
 			break
 		}
 		event := s.pending[:end]
-		id, has := eventID(event)
-		if !has || isNewer(id, s.lastID) {
-			if err := s.write(event, r, run); err != nil {
+		id, hasID := eventID(event)
+		if !hasID || isNewer(id, s.lastEventID) {
+			if err := s.writeEvent(event, r, attempt); err != nil {
 				return sent, err
 			}
-			if has {
-				s.lastID = id
+			if hasID {
+				s.lastEventID = id
 			}
 			sent = true
 		}
 		s.pending = append(s.pending[:0], s.pending[end:]...)
 	}
 	if sent {
-		return true, http.NewResponseController(s.e.writer).Flush()
+		return true, http.NewResponseController(s.exchange.writer).Flush()
 	}
 	return false, nil
 }
 
-func (s *relay) write(event []byte, r *upstream.Response, run *run) error {
+func (s *streamRelay) writeEvent(event []byte, r *upstream.Response, attempt *placedAttempt) error {
 	now := time.Now()
-	if !s.started {
-		s.begin(r)
+	if !s.headSent {
+		s.sendHead(r)
 	}
 	if s.events > 0 {
-		s.longest = max(s.longest, now.Sub(s.last))
+		s.longestPause = max(s.longestPause, now.Sub(s.lastEventAt))
 	}
-	s.last = now
-	run.event()
+	s.lastEventAt = now
+	attempt.recordEvent()
 	s.events++
-	_, err := s.e.writer.Write(event)
+	_, err := s.exchange.writer.Write(event)
 	return err
 }
 
-// eventEnd returns the index behind the first whole event: up to and with the
-// empty line that ends it. It is -1 if there is none.
+// eventEnd returns the index after the first complete event, whose last part is the empty
+// line that ends it. It returns -1 if there is none.
 func eventEnd(b []byte) int {
 	for from := 0; ; {
 		i := bytes.IndexByte(b[from:], '\n')
@@ -154,7 +159,7 @@
 
 var idField = []byte("id:")
 
-// eventID returns the id of an event, where it has one.
+// eventID returns the ID of an event and whether it has one.
 func eventID(event []byte) (string, bool) {
 	for line := range bytes.Lines(event) {
 		value, ok := bytes.CutPrefix(line, idField)
@@ -166,8 +171,8 @@
 	return "", false
 }
 
-// isNewer reports whether an event comes behind the last one. Ids rise; those that
-// are no numbers are only told apart.
+// isNewer reports whether an event follows the last one. Numeric IDs increase; other IDs
+// are only compared for equality.
 func isNewer(id, last string) bool {
 	if last == "" {
 		return true
--- a/gateway/stream_bench_test.go
+++ b/gateway/stream_bench_test.go
@@ -7,17 +7,17 @@
 	"testing"
 )
 
-// BenchmarkStream is one prompt from its caller's first byte to the last of 36 events, over
-// loopback, with a server beside it that writes at once: the path of a request without its
-// choice among many servers. Run it with -cpuprofile for the functions that it spends its
-// time in.
+// BenchmarkStream measures one prompt from its caller's first byte to the last of 36
+// events, over loopback, with a local server that responds at once. This is the path of a
+// request without the choice among many servers. Run it with -cpuprofile to see which
+// functions take the time.
 func BenchmarkStream(b *testing.B) {
 	const lastEvent = 35
-	w := newWorld(b, events(0, lastEvent, false)).configured()
-	client := w.front.Client()
+	gw := newTestGateway(b, streamEvents(0, lastEvent, false)).withSampleConfig()
+	client := gw.server.Client()
 	b.ReportAllocs()
 	for b.Loop() {
-		r, err := http.NewRequest(http.MethodPost, w.front.URL+"/stream/", strings.NewReader(strings.Repeat("x", 1200)))
+		r, err := http.NewRequest(http.MethodPost, gw.server.URL+"/stream/", strings.NewReader(strings.Repeat("x", 1200)))
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -11,70 +11,75 @@
 	"github.com/briarturn/briarturn/quarantine"
 )
 
-// A request may crash every server that begins to run it, and its caller sends it
-// again. It shows as connections that break before the first byte of an answer, to
-// servers that then refuse connections.
+// A request may crash every server that begins to run it, and its caller sends it again.
+// Such a crash shows as a connection that breaks before the first byte of a response, to
+// a server that then refuses connections.
 const (
-	// suspectDeaths refuses a request. Two can be chance: an outage that ends
-	// several servers also ends what was moved from one to the next.
-	suspectDeaths = 3
-	// aliveTimeout bounds the question whether a server still accepts connections.
-	aliveTimeout = 300 * time.Millisecond
+	// deathThreshold is the number of server deaths at which a request is refused. Two
+	// can be a coincidence: an outage that ends several servers also ends requests that
+	// were moved from one to the next.
+	deathThreshold = 3
+	// probeTimeout bounds the check whether a server still accepts connections.
+	probeTimeout = 300 * time.Millisecond
 )
 
-// QuarantineOptions are those of the gateway's book.
+// QuarantineOptions returns the quarantine options of the gateway.
 func QuarantineOptions() quarantine.Options {
 	o := quarantine.DefaultOptions
-	o.DeathThreshold = suspectDeaths
+	o.DeathThreshold = deathThreshold
 	return o
 }
 
-// DeathReporter passes on to other entries that a request was running when a server died.
-// It must not block.
+// DeathReporter reports to other entries that a request was running when a server died.
+// ReportDeath must not block.
 type DeathReporter interface {
 	ReportDeath(r quarantine.Record)
 }
 
-// fingerprint is the same for every attempt with the same caller, path and body.
-func (e *exchange) fingerprint() uint64 {
+// computeFingerprint returns a hash that is the same for every attempt with the same
+// caller, path and body.
+func (e *exchange) computeFingerprint() uint64 {
 	h := xxhash.New()
-	for _, part := range [][]byte{[]byte(e.env.APIKey), []byte(target(e.incoming)), e.body} {
-		// A hash never fails to take bytes; the zero parts them.
+	for _, part := range [][]byte{[]byte(e.info.APIKey), []byte(requestTarget(e.incoming)), e.body} {
+		// Write never fails on a hash. The zero byte separates the parts.
 		_, _ = h.Write(part)
 		_, _ = h.Write([]byte{0})
 	}
 	return h.Sum64()
 }
 
-// poisoned reports whether the request must not run any more.
-func (e *exchange) poisoned() bool {
-	e.mark = e.fingerprint()
-	return e.gateway.cfg.Quarantine.Verdict(e.mark, time.Now()) == quarantine.Refuse
+// isQuarantined sets the request's fingerprint and reports whether the request is refused
+// because of the servers that died while running it.
+func (e *exchange) isQuarantined() bool {
+	e.fingerprint = e.computeFingerprint()
+	return e.gateway.cfg.Quarantine.Verdict(e.fingerprint, time.Now()) == quarantine.Refuse
 }
 
-// survived clears a request that got its answer of the deaths that it was beside: one that kills
-// gets none. Without it a call that many make, with the same path and no body, would be refused
-// after three servers had died of anything else.
-func (e *exchange) survived() {
+// recordCompletion clears the server deaths that are recorded for a request which got its
+// response, because a request that kills servers gets none. Otherwise a call that many
+// callers make, with the same path and no body, would be refused after three servers had
+// died of other causes.
+func (e *exchange) recordCompletion() {
 	if e.outcome == outcomeAnswered && e.status < http.StatusInternalServerError {
-		e.gateway.cfg.Quarantine.RecordCompletion(e.mark, time.Now())
+		e.gateway.cfg.Quarantine.RecordCompletion(e.fingerprint, time.Now())
 	}
 }
 
-// suspect notes a request that got no byte of an answer if its server is gone.
-func (e *exchange) suspect(ctx context.Context, place placement.Placement) {
-	ctx, cancel := context.WithTimeout(ctx, aliveTimeout)
+// recordDeath records a server death for a request that got no byte of a response, if its
+// server is gone.
+func (e *exchange) recordDeath(ctx context.Context, placed placement.Placement) {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	if e.gateway.cfg.Pool.Probe(ctx, place.Server.Address) || ctx.Err() != nil {
-		return // it lives, or nobody can tell in time
+	if e.gateway.cfg.Pool.Probe(ctx, placed.Server.Address) || ctx.Err() != nil {
+		return // the server is alive, or the check timed out
 	}
-	death := placement.ServerKey(place.Server.Instance)
-	record, news := e.gateway.cfg.Quarantine.RecordDeath(e.mark, death, time.Now())
-	if !news {
+	deathID := placement.ServerKey(placed.Server.Instance)
+	record, isNew := e.gateway.cfg.Quarantine.RecordDeath(e.fingerprint, deathID, time.Now())
+	if !isNew {
 		return
 	}
-	e.gateway.tally.deaths.Inc(1)
-	e.gateway.cfg.Log.WithField("request", e.env.ID).WithField("server", place.Server.Address).
+	e.gateway.counters.serverDeaths.Inc(1)
+	e.gateway.cfg.Log.WithField("request", e.info.ID).WithField("server", placed.Server.Address).
 		WithField("deaths", record.DeathCount).Warn("server died under a request")
 	e.gateway.cfg.DeathReporter.ReportDeath(record)
 }
