--- a/internal/capacity/measure_entry.go
+++ b/internal/capacity/measure_entry.go
@@ -129,7 +129,7 @@
 func newObserver(self, entries, agents int, period time.Duration) (*membership.Observer, *backend.Table) {
 	table := backend.NewTable(backend.TableOptions{})
 	o := membership.NewObserver(membership.ObserverConfig{
-		Self: entryPeer(self), Table: node.ObservedTable{Table: table}, Period: period,
+		Self: entryPeer(self), Table: node.ObservedTable{Table: table}, DigestPeriod: period,
 		Rand: rand.New(rand.NewPCG(seed, uint64(self))),
 	})
 	var peers []*wirepb.Peer
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -166,7 +166,7 @@
 		},
 		Listen: n.cfg.DatagramListen,
 		Load:   func() backend.Load { return n.agent.Load() }, // called once it is started
-		Pulls:  membership.Pulls{Config: n.pullConfig, Peers: n.pullPeers},
+		Pulls:  membership.PullFuncs{Config: n.pullConfig, Peers: n.pullPeers},
 		Log:    n.tasks.log,
 
 		DatagramFault: n.cfg.DatagramFault,
@@ -255,7 +255,7 @@
 	tick := time.NewTicker(drainTellPoll)
 	defer tick.Stop()
 	for told := false; !told; {
-		n.runner.With(func(r *membership.Reporter) { told = r.DrainTold() })
+		n.runner.With(func(r *membership.Reporter) { told = r.DrainReported() })
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -157,10 +157,10 @@
 			Rand:    newRand(),
 			Metrics: n.cfg.Metrics,
 		},
-		Listen:   n.cfg.DatagramListen,
-		Evidence: func(list []*wirepb.Evidence) { wire.LearnEvidence(n.book, list, time.Now()) },
-		Pulls:    membership.Pulls{Config: n.pullConfig, Peers: n.pullPeers, Servers: n.pullServers},
-		Log:      n.tasks.log,
+		Listen:     n.cfg.DatagramListen,
+		OnEvidence: func(list []*wirepb.Evidence) { wire.LearnEvidence(n.book, list, time.Now()) },
+		Pulls:      membership.PullFuncs{Config: n.pullConfig, Peers: n.pullPeers, Servers: n.pullServers},
+		Log:        n.tasks.log,
 
 		DatagramFault: n.cfg.DatagramFault,
 	})
--- a/internal/node/presence_cleanup.go
+++ b/internal/node/presence_cleanup.go
@@ -26,7 +26,7 @@
 func (n *Entry) cleanPresences(now time.Time) {
 	var lost, live []*wirepb.Peer
 	n.runner.With(func(o *membership.Observer) {
-		lost = o.Lost(now, presenceExpiry)
+		lost = o.SilentPeers(now, presenceExpiry)
 		live = o.Peers()
 	})
 	names := make([]string, 0, len(live))
--- a/internal/node/store_sink.go
+++ b/internal/node/store_sink.go
@@ -95,7 +95,7 @@
 		}
 	}
 	if len(leaving) > 0 {
-		s.node.runner.With(func(o *membership.Observer) { o.Leaving(leaving) })
+		s.node.runner.With(func(o *membership.Observer) { o.MarkLeaving(leaving) })
 	}
 }
 
--- a/membership/budget_test.go
+++ b/membership/budget_test.go
@@ -125,9 +125,9 @@
 	t.Parallel()
 	for _, size := range []struct{ entries, agents, pools int }{{3, 24, 2}, {16, 448, 14}} {
 		f := measure(t, size.entries, size.agents, size.pools, 40*time.Second, 30*time.Second)
-		if f.entryMax > DefaultBudget || f.agentMax > DefaultBudget {
+		if f.entryMax > DefaultControlBudget || f.agentMax > DefaultControlBudget {
 			t.Errorf("%d entries, %d agents: entry %.0f, agent %.0f B/s, limit %d",
-				size.entries, size.agents, f.entryMax, f.agentMax, DefaultBudget)
+				size.entries, size.agents, f.entryMax, f.agentMax, DefaultControlBudget)
 		}
 	}
 }
--- a/membership/cluster_test.go
+++ b/membership/cluster_test.go
@@ -313,17 +313,17 @@
 
 func (c *cluster) entryEffects(e *entryNode, out Effects) {
 	c.send(e.addr, out.Send)
-	e.evidence += len(out.Evidence)
-	if out.PullConfig != "" {
+	e.evidence += len(out.NewEvidence)
+	if out.PullConfigFrom != "" {
 		e.pulls++
 	}
-	if from := c.entryAt(out.PullServers); from != nil {
+	if from := c.entryAt(out.PullServersFrom); from != nil {
 		c.takeServers(e, from)
-	} else if out.PullServers != "" {
-		e.ServersTaken(false)
+	} else if out.PullServersFrom != "" {
+		e.ServersPulled(false)
 	}
-	if out.PullPeers != "" {
-		if from := c.entryAt(out.PullPeers); from != nil {
+	if out.PullPeersFrom != "" {
+		if from := c.entryAt(out.PullPeersFrom); from != nil {
 			e.MergePeers(c.now, from.Peers())
 		}
 	}
@@ -331,10 +331,10 @@
 
 func (c *cluster) agentEffects(a *agentNode, out Effects) {
 	c.send(a.addr, out.Send)
-	if out.PullConfig != "" {
-		c.beginPull(a, out.PullConfig)
+	if out.PullConfigFrom != "" {
+		c.beginPull(a, out.PullConfigFrom)
 	}
-	if from := c.entryAt(out.PullPeers); from != nil {
+	if from := c.entryAt(out.PullPeersFrom); from != nil {
 		a.SetPeers(from.self.GetName(), from.Peers())
 	}
 }
@@ -346,7 +346,7 @@
 		c.filled += proto.Size(page)
 		e.MergeServers(c.now, page.GetServers())
 		if page.GetNext() == 0 {
-			e.ServersTaken(true)
+			e.ServersPulled(true)
 			return
 		}
 		after = page.GetNext()
--- a/membership/config_test.go
+++ b/membership/config_test.go
@@ -273,7 +273,7 @@
 	if h.acked != before || h.greeted {
 		t.Errorf("acknowledged %d, greeted %t", h.acked, h.greeted)
 	}
-	if out.PullConfig == "" {
+	if out.PullConfigFrom == "" {
 		t.Error("the new version isn't pulled")
 	}
 }
--- a/membership/digest.go
+++ b/membership/digest.go
@@ -48,14 +48,14 @@
 // sendDigest sends a digest to one random peer when it is due.
 func (o *Observer) sendDigest(now time.Time, out *Effects) {
 	if o.nextAt.IsZero() {
-		o.nextAt = now.Add(time.Duration(o.cfg.Rand.Float64() * float64(o.cfg.Period)))
+		o.nextAt = now.Add(time.Duration(o.cfg.Rand.Float64() * float64(o.cfg.DigestPeriod)))
 	}
 	if now.Before(o.nextAt) {
 		return
 	}
-	o.nextAt = o.nextAt.Add(o.cfg.Period)
+	o.nextAt = o.nextAt.Add(o.cfg.DigestPeriod)
 	if o.nextAt.Before(now) {
-		o.nextAt = now.Add(o.cfg.Period)
+		o.nextAt = now.Add(o.cfg.DigestPeriod)
 	}
 	if p := o.peers.target(o.cfg.Rand); p != nil {
 		m := digestMessage(o.digest(now))
@@ -207,7 +207,7 @@
 	if p == nil {
 		// An entry that isn't in the list yet: somebody has a newer list.
 		if picked := o.peers.pick(o.cfg.Rand, 1); len(picked) > 0 {
-			out.PullPeers = picked[0].info.GetRpcAddress()
+			out.PullPeersFrom = picked[0].info.GetRpcAddress()
 		}
 		return
 	}
@@ -216,8 +216,8 @@
 		o.peers.changed()
 	}
 	if d.GetConfigVersion() > o.config.revision {
-		out.PullConfig = p.info.GetRpcAddress()
-		out.PullVersion = d.GetConfigVersion()
+		out.PullConfigFrom = p.info.GetRpcAddress()
+		out.PullConfigVersion = d.GetConfigVersion()
 	}
 }
 
--- a/membership/effects.go
+++ b/membership/effects.go
@@ -15,19 +15,19 @@
 // Effects is what a step of a Reporter or an Observer asks of its runner.
 type Effects struct {
 	Send []Outgoing
-	// PullConfig is the drpc address of an entry that has newer objects, or
+	// PullConfigFrom is the drpc address of an entry that has newer objects, or
 	// empty.
-	PullConfig string
-	// PullVersion is the version that PullConfig is to bring.
-	PullVersion uint64
-	// PullPeers is the drpc address of an entry to ask for the list of
+	PullConfigFrom string
+	// PullConfigVersion is the version that PullConfig is to bring.
+	PullConfigVersion uint64
+	// PullPeersFrom is the drpc address of an entry to ask for the list of
 	// entries, or empty.
-	PullPeers string
-	// PullServers is the drpc address of an entry to ask for the backend servers
-	// whose home it is, or empty. ServersTaken must follow.
-	PullServers string
-	// Evidence is crash evidence that was not known here yet.
-	Evidence []*wirepb.Evidence
+	PullPeersFrom string
+	// PullServersFrom is the drpc address of an entry to ask for the backend servers
+	// whose home it is, or empty. ServersPulled must follow.
+	PullServersFrom string
+	// NewEvidence is crash evidence that was not known here yet.
+	NewEvidence []*wirepb.Evidence
 }
 
 // send adds a datagram. Without a valid address it adds nothing.
--- a/membership/evidence.go
+++ b/membership/evidence.go
@@ -115,7 +115,7 @@
 func (o *Observer) AddEvidence(now time.Time, list []*wirepb.Evidence) Effects {
 	var out Effects
 	o.learnEvidence(now, list, &out)
-	out.Evidence = nil // the caller has it
+	out.NewEvidence = nil // the caller has it
 	return out
 }
 
@@ -125,7 +125,7 @@
 	if len(fresh) == 0 {
 		return
 	}
-	out.Evidence = append(out.Evidence, fresh...)
+	out.NewEvidence = append(out.NewEvidence, fresh...)
 	if !o.rumors.waves.AllowN(now, 1) {
 		return
 	}
--- a/membership/failure_test.go
+++ b/membership/failure_test.go
@@ -337,16 +337,16 @@
 	}
 	a := c.agents[0]
 	a.load.Draining = true
-	if a.DrainTold() {
+	if a.DrainReported() {
 		t.Fatal("told before anything was sent")
 	}
 	for range 300 {
-		if a.DrainTold() {
+		if a.DrainReported() {
 			break
 		}
 		c.run(10 * time.Millisecond)
 	}
-	if !a.DrainTold() {
+	if !a.DrainReported() {
 		t.Fatal("not told after 3 s")
 	}
 	for _, e := range c.homesOf(a) {
@@ -364,7 +364,7 @@
 	c := newCluster(t, 3, 2, 1, 13)
 	c.run(settled)
 	a, e := c.agents[0], c.entries[0]
-	e.Leaving([]string{a.name()})
+	e.MarkLeaving([]string{a.name()})
 	c.run(settled)
 	c.wantState(e, a, backend.StateLeaving)
 	c.startAgent(0, 1)
--- a/membership/lists.go
+++ b/membership/lists.go
@@ -30,7 +30,7 @@
 		r.listAt = now.Add(r.spread(listSpread * time.Duration(max(len(r.ranked)-allHomes, 0))))
 	}
 	if h.pulled == 0 || r.homeSuspect() || !now.Before(r.listAt) {
-		out.PullPeers = h.rpc
+		out.PullPeersFrom = h.rpc
 	}
 }
 
--- a/membership/lists_test.go
+++ b/membership/lists_test.go
@@ -49,7 +49,7 @@
 		})
 		r.SetPeers("entry-0", old)
 		for _, home := range r.Homes() {
-			if out := offer(r, home, oldVersion, began); out.PullPeers != "" {
+			if out := offer(r, home, oldVersion, began); out.PullPeersFrom != "" {
 				t.Fatalf("agent %d pulls from %s a list that it has", i, home)
 			}
 		}
@@ -57,7 +57,7 @@
 		for second := 0; second < 20*minute; second += 20 {
 			now := began.Add(time.Duration(second) * time.Second)
 			for _, home := range r.Homes() {
-				if offer(r, home, changedVersion, now).PullPeers == "" {
+				if offer(r, home, changedVersion, now).PullPeersFrom == "" {
 					continue
 				}
 				pulls++
@@ -93,7 +93,7 @@
 		r.Tick(now, backend.Load{})
 		offer(r, homes[0], PeersVersion(old), now)
 	}
-	if out := offer(r, homes[0], PeersVersion(listEntries(85)), now); out.PullPeers == "" {
+	if out := offer(r, homes[0], PeersVersion(listEntries(85)), now); out.PullPeersFrom == "" {
 		t.Error("the list isn't pulled though a home is silent")
 	}
 }
--- a/membership/lost_test.go
+++ b/membership/lost_test.go
@@ -14,16 +14,16 @@
 	c := newCluster(t, 3, 6, 1, 11)
 	c.run(time.Minute)
 	o := c.entries[0].Observer
-	if lost := o.Lost(c.now, silence); len(lost) > 0 {
+	if lost := o.SilentPeers(c.now, silence); len(lost) > 0 {
 		t.Fatalf("lost while all are heard: %v", lost)
 	}
 	c.entries[2].dead = true
 	c.run(silence + time.Minute)
-	lost := o.Lost(c.now, silence)
+	lost := o.SilentPeers(c.now, silence)
 	if len(lost) != 1 || lost[0].GetName() != c.entries[2].self.GetName() {
 		t.Fatalf("lost %v, want the one that is down", lost)
 	}
-	if all := o.Lost(c.now.Add(time.Hour), silence); len(all) > 0 {
+	if all := o.SilentPeers(c.now.Add(time.Hour), silence); len(all) > 0 {
 		t.Fatalf("an entry that hears nobody lost %v", all)
 	}
 }
--- a/membership/news.go
+++ b/membership/news.go
@@ -43,6 +43,6 @@
 	}
 	n.tries--
 	n.at = now
-	out.PullConfig = n.from
-	out.PullVersion = n.version
+	out.PullConfigFrom = n.from
+	out.PullConfigVersion = n.version
 }
--- a/membership/observer.go
+++ b/membership/observer.go
@@ -33,9 +33,9 @@
 
 // The budget of control bytes.
 const (
-	// DefaultBudget is what an entry may spend on control, bytes a second, in
+	// DefaultControlBudget is what an entry may spend on control, bytes a second, in
 	// and out together.
-	DefaultBudget = 3000
+	DefaultControlBudget = 3000
 	// minReportShare is the least part of it for agents' reports and their
 	// answers; they get what digests leave, less spareShare for the rest.
 	minReportShare = 0.45
@@ -68,13 +68,13 @@
 type ObserverConfig struct {
 	Self  *wirepb.Peer // with its incarnation: the start, Unix milliseconds
 	Table Table
-	// Period is the time between digests. Default 1 s.
-	Period time.Duration
-	// Budget is what may be spent on control, bytes a second in and out. It
+	// DigestPeriod is the time between digests. Default 1 s.
+	DigestPeriod time.Duration
+	// ControlBudget is what may be spent on control, bytes a second in and out. It
 	// decides the report period that agents are asked for. Default 3000.
-	Budget  float64
-	Rand    *rand.Rand
-	Metrics metrics.Registry // nil: a registry of its own
+	ControlBudget float64
+	Rand          *rand.Rand
+	Metrics       metrics.Registry // nil: a registry of its own
 }
 
 // Observer is an entry's side of membership.
@@ -125,11 +125,11 @@
 
 // NewObserver returns an observer that knows nobody but itself.
 func NewObserver(cfg ObserverConfig) *Observer {
-	if cfg.Period == 0 {
-		cfg.Period = defaultDigestPeriod
+	if cfg.DigestPeriod == 0 {
+		cfg.DigestPeriod = defaultDigestPeriod
 	}
-	if cfg.Budget == 0 {
-		cfg.Budget = DefaultBudget
+	if cfg.ControlBudget == 0 {
+		cfg.ControlBudget = DefaultControlBudget
 	}
 	if cfg.Metrics == nil {
 		cfg.Metrics = metrics.NewRegistry()
@@ -145,7 +145,7 @@
 		peers:          newPeerSet(),
 		rumors:         newRumors(),
 		describe:       rate.NewLimiter(describeRate, describeBurst),
-		config:         newConfigState(cfg.Budget),
+		config:         newConfigState(cfg.ControlBudget),
 		oldIncarnation: counter("old_incarnation"),
 		oldSequence:    counter("old_sequence"),
 		suspected:      counter("agents_suspected"),
@@ -179,8 +179,8 @@
 // budget allows for as many as report to it.
 func (o *Observer) ReportPeriod() time.Duration {
 	const withDeltas = reportCost * (1 + 1.0/deltaEvery)
-	digests := 2 * float64(o.digests.bytes) / o.cfg.Period.Seconds() // in and out
-	left := max(o.cfg.Budget*(1-spareShare)-digests, o.cfg.Budget*minReportShare)
+	digests := 2 * float64(o.digests.bytes) / o.cfg.DigestPeriod.Seconds() // in and out
+	left := max(o.cfg.ControlBudget*(1-spareShare)-digests, o.cfg.ControlBudget*minReportShare)
 	seconds := float64(o.direct) * withDeltas / left
 	period := time.Duration(seconds * float64(time.Second)).Round(time.Millisecond)
 	return min(max(period, defaultReportPeriod), maxReportPeriod)
@@ -348,10 +348,10 @@
 	}
 }
 
-// Leaving takes names from the platform's list of leaving VMs. The list lags: a
+// MarkLeaving takes names from the platform's list of leaving VMs. The list lags: a
 // server that was replaced under the same name isn't leaving, so the hint holds
 // only for the incarnation known now.
-func (o *Observer) Leaving(names []string) {
+func (o *Observer) MarkLeaving(names []string) {
 	for _, name := range names {
 		a := o.agents[wire.Key(name)]
 		if a == nil || a.leaving == a.incarnation {
@@ -392,7 +392,7 @@
 	last := o.lastTick
 	o.lastTick = now
 	gap := now.Sub(last)
-	if last.IsZero() || gap <= 2*o.cfg.Period {
+	if last.IsZero() || gap <= 2*o.cfg.DigestPeriod {
 		return
 	}
 	if gap > fillAfterPause {
--- a/membership/peers.go
+++ b/membership/peers.go
@@ -204,7 +204,7 @@
 }
 
 func (o *Observer) peerSuspectAfter() time.Duration {
-	return peerSuspectPeriods * o.cfg.Period
+	return peerSuspectPeriods * o.cfg.DigestPeriod
 }
 
 // judgePeers marks entries that are missed. An entry is dead only if another
@@ -214,7 +214,7 @@
 	for _, key := range o.peers.keys {
 		p := o.peers.all[key]
 		p.suspect = now.Sub(p.heardAt) > o.peerSuspectAfter()
-		dead := p.suspect && p.claimed(now, claimPeriods*o.cfg.Period)
+		dead := p.suspect && p.claimed(now, claimPeriods*o.cfg.DigestPeriod)
 		if dead && !p.dead {
 			p.dead = true
 			o.peers.changed()
@@ -232,10 +232,10 @@
 	return len(p.claims) > 0
 }
 
-// Lost returns the entries of the region that nobody has heard of for so long.
+// SilentPeers returns the entries of the region that nobody has heard of for so long.
 // While this entry hears nobody at all it returns none: then it is itself that is
 // cut off.
-func (o *Observer) Lost(now time.Time, silence time.Duration) []*wirepb.Peer {
+func (o *Observer) SilentPeers(now time.Time, silence time.Duration) []*wirepb.Peer {
 	if o.isolated(now) {
 		return nil
 	}
--- a/membership/reporter.go
+++ b/membership/reporter.go
@@ -174,9 +174,9 @@
 	return changed(r.sent, load) && r.deltas.AllowN(now, 1)
 }
 
-// DrainTold tells whether a load with the drain flag was reported, and either
+// DrainReported tells whether a load with the drain flag was reported, and either
 // every home that answers knows of it or it was repeated often enough.
-func (r *Reporter) DrainTold() bool {
+func (r *Reporter) DrainReported() bool {
 	return r.sent.Draining && r.sequence > 0 && (r.urgent == 0 || r.drainAcked())
 }
 
--- a/membership/reporter_homes.go
+++ b/membership/reporter_homes.go
@@ -176,7 +176,7 @@
 		return
 	}
 	r.askedAt = now
-	out.PullPeers = r.cfg.Seeds[r.nextSeed%len(r.cfg.Seeds)]
+	out.PullPeersFrom = r.cfg.Seeds[r.nextSeed%len(r.cfg.Seeds)]
 	r.nextSeed++
 }
 
--- a/membership/runner.go
+++ b/membership/runner.go
@@ -25,9 +25,9 @@
 // it: entries spread their announcements.
 const pullSpread = time.Second
 
-// Pulls are the drpc calls that membership asks for. They run on a goroutine of
+// PullFuncs are the drpc calls that membership asks for. They run on a goroutine of
 // their own, one of each at a time.
-type Pulls struct {
+type PullFuncs struct {
 	// Config fetches newer objects from the entry at a drpc address.
 	Config func(ctx context.Context, addr string)
 	// Peers fetches the list of entries from the entry at a drpc address.
@@ -40,7 +40,7 @@
 // link joins a pure part to a socket.
 type link struct {
 	socket *wire.Datagrams
-	pulls  Pulls
+	pulls  PullFuncs
 	log    logrus.FieldLogger
 
 	ctx          context.Context // of Run; ends the pulls
@@ -68,11 +68,11 @@
 	if l.ctx == nil {
 		return
 	}
-	if out.PullConfig != "" && l.pulls.Config != nil {
-		l.once(&l.configBusy, l.configSpread, func() { l.pullConfig(out.PullConfig, out.PullVersion) })
+	if out.PullConfigFrom != "" && l.pulls.Config != nil {
+		l.once(&l.configBusy, l.configSpread, func() { l.pullConfig(out.PullConfigFrom, out.PullConfigVersion) })
 	}
-	if out.PullPeers != "" && l.pulls.Peers != nil {
-		l.once(&l.peersBusy, pullSpread, func() { l.pullPeers(out.PullPeers, setPeers) })
+	if out.PullPeersFrom != "" && l.pulls.Peers != nil {
+		l.once(&l.peersBusy, pullSpread, func() { l.pullPeers(out.PullPeersFrom, setPeers) })
 	}
 }
 
@@ -138,7 +138,7 @@
 	Listen string
 	// Load returns the present load. It must not block.
 	Load  func() backend.Load
-	Pulls Pulls
+	Pulls PullFuncs
 	Log   logrus.FieldLogger
 	// DatagramFault is for tests; see wire.DatagramConfig.
 	DatagramFault wire.DatagramFault
@@ -225,10 +225,10 @@
 	// Listen is the ip:port of the datagram socket. The address that was bound
 	// is announced unless Self names one.
 	Listen string
-	// Evidence is told of crash evidence that is new here. It must not block.
-	Evidence func([]*wirepb.Evidence)
-	Pulls    Pulls
-	Log      logrus.FieldLogger
+	// OnEvidence is told of crash evidence that is new here. It must not block.
+	OnEvidence func([]*wirepb.Evidence)
+	Pulls      PullFuncs
+	Log        logrus.FieldLogger
 	// DatagramFault is for tests; see wire.DatagramConfig.
 	DatagramFault wire.DatagramFault
 }
@@ -245,7 +245,7 @@
 
 // NewEntryRunner binds the socket.
 func NewEntryRunner(cfg EntryConfig) (*EntryRunner, error) {
-	e := &EntryRunner{evidence: cfg.Evidence, link: link{pulls: cfg.Pulls, log: cfg.Log, configSpread: pullSpread}}
+	e := &EntryRunner{evidence: cfg.OnEvidence, link: link{pulls: cfg.Pulls, log: cfg.Log, configSpread: pullSpread}}
 	e.configKnown = e.configRevision
 	e.mu.Lock() // no datagram is handled before the observer stands
 	defer e.mu.Unlock()
@@ -288,8 +288,8 @@
 	e.pullServers(out)
 	e.mu.Unlock()
 	e.send(out)
-	if len(out.Evidence) > 0 && e.evidence != nil {
-		e.evidence(out.Evidence)
+	if len(out.NewEvidence) > 0 && e.evidence != nil {
+		e.evidence(out.NewEvidence)
 	}
 }
 
@@ -299,12 +299,12 @@
 
 // pullServers starts to ask an entry for its servers.
 func (e *EntryRunner) pullServers(out Effects) {
-	if e.ctx == nil || out.PullServers == "" || e.pulls.Servers == nil {
+	if e.ctx == nil || out.PullServersFrom == "" || e.pulls.Servers == nil {
 		return
 	}
 	e.once(&e.serversBusy, 0, func() {
-		err := e.takeServers(out.PullServers)
-		e.With(func(o *Observer) { o.ServersTaken(err == nil) })
+		err := e.takeServers(out.PullServersFrom)
+		e.With(func(o *Observer) { o.ServersPulled(err == nil) })
 		if err != nil {
 			e.log.WithError(err).Debug("list of servers not pulled")
 		}
--- a/membership/runner_test.go
+++ b/membership/runner_test.go
@@ -63,7 +63,7 @@
 			Seeds:       []string{"127.0.0.1:1"},
 			Rand:        rand.New(rand.NewPCG(1, 2)),
 		},
-		Pulls: Pulls{Peers: func(context.Context, string) (peers []*wirepb.Peer, err error) {
+		Pulls: PullFuncs{Peers: func(context.Context, string) (peers []*wirepb.Peer, err error) {
 			entry.With(func(o *Observer) { peers = o.Peers() })
 			return peers, nil
 		}},
--- a/membership/servers.go
+++ b/membership/servers.go
@@ -68,7 +68,7 @@
 	f.queue = f.queue[1:]
 	if p := o.peers.all[key]; p != nil && !p.dead {
 		f.asking = key
-		out.PullServers = p.info.GetRpcAddress()
+		out.PullServersFrom = p.info.GetRpcAddress()
 	}
 }
 
@@ -83,9 +83,9 @@
 	}
 }
 
-// ServersTaken notes that the entry which was asked last gave its list, or that
+// ServersPulled notes that the entry which was asked last gave its list, or that
 // the call failed.
-func (o *Observer) ServersTaken(ok bool) {
+func (o *Observer) ServersPulled(ok bool) {
 	f := &o.fill
 	if !ok && f.retries < fillRetries {
 		f.retries++
--- a/membership/servers_test.go
+++ b/membership/servers_test.go
@@ -193,7 +193,7 @@
 				Table: &fakeTable{rows: map[uint64]*fakeRow{}},
 				Rand:  rand.New(rand.NewPCG(1, 1)),
 			},
-			Pulls: Pulls{Servers: func(_ context.Context, _ string, after uint64) (*wirepb.Servers, error) {
+			Pulls: PullFuncs{Servers: func(_ context.Context, _ string, after uint64) (*wirepb.Servers, error) {
 				asked++
 				page := &wirepb.Servers{Next: after + 1}
 				if after == 2 {
