--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -53,7 +53,7 @@
 	wait := time.AfterFunc(e.admitWait(start), func() { cancel(errAdmitWait) })
 	defer wait.Stop()
 
-	stream, err := e.cfg.Dialer.Run(ctx, to.RPCAddress)
+	stream, err := e.cfg.AgentClient.Run(ctx, to.RPCAddress)
 	if err != nil {
 		res.err = stepError(ctx, err, "dial", to.Name)
 		return res
@@ -90,9 +90,9 @@
 
 func (e *Entry) admitWait(start *wirepb.Start) time.Duration {
 	if start.GetLong() || start.GetAlone() {
-		return e.limits.LongAdmitWait
+		return e.limits.LongAdmissionTimeout
 	}
-	return e.limits.AdmitWait
+	return e.limits.AdmissionTimeout
 }
 
 // admission waits for Admit or Refuse. It returns nil if it wasn't Admit.
@@ -178,7 +178,7 @@
 	if l == nil {
 		return
 	}
-	e.cfg.Rows.ObserveAnswer(name, wire.LoadOf(l), time.Now())
+	e.cfg.Servers.ObserveAnswer(name, wire.LoadOf(l), time.Now())
 }
 
 // stepError names the step and peer, and the cause where the entry itself ended
--- a/entry/choose.go
+++ b/entry/choose.go
@@ -40,13 +40,13 @@
 		Now:          now,
 		Deadline:     c.spec.Deadline,
 	}
-	rows := c.e.cfg.Rows.Sample(c.pool, routing.SampleSize(c.spec.Class()), c.holders(), c.rnd, (*buffer)[:0])
+	rows := c.e.cfg.Servers.Sample(c.pool, routing.SampleSize(c.spec.Class()), c.holders(), c.rnd, (*buffer)[:0])
 	*buffer = rows
 	choices := c.policy.Choose(&q, rows, c.rnd, most, nil)
 	if len(choices) >= most || len(rows) < routing.SampleSize(c.spec.Class()) {
 		return choices
 	}
-	rows = c.e.cfg.Rows.Rows(c.pool, rows[:0])
+	rows = c.e.cfg.Servers.Rows(c.pool, rows[:0])
 	*buffer = rows
 	return c.policy.Choose(&q, rows, c.rnd, most, choices[:0])
 }
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -82,7 +82,7 @@
 		spec:         spec,
 		body:         body,
 		pool:         pool.Name,
-		engineTokens: pool.EngineTokens,
+		engineTokens: pool.EngineMemoryTokens,
 		life:         request.NewLifecycle(spec.Deadline, spec.Arrived),
 		asm:          request.NewAssembler(request.DefaultAssemblerLimits),
 		rnd:          random(),
@@ -242,8 +242,8 @@
 		Tokens:  c.spec.PromptTokens + c.spec.MaxTokens,
 		Long:    c.spec.Class() >= request.ClassLarge,
 	}
-	dispatch := c.e.cfg.Rows.Begin(to.Name, work, time.Now())
-	defer c.e.cfg.Rows.Done(dispatch)
+	dispatch := c.e.cfg.Servers.Begin(to.Name, work, time.Now())
+	defer c.e.cfg.Servers.Done(dispatch)
 	start := c.start()
 	start.MaxWaitMs = c.maxWait(to)
 	return c.exchange(ctx, to, start), true
@@ -277,7 +277,7 @@
 		last = c.failure(http.StatusServiceUnavailable, reasonNoBackend, "choose", errNoCandidate.Error(), retrySoon)
 	}
 	if nobody && !c.alone && c.rounds >= emptyRounds {
-		c.refusals = c.e.limits.Refusals
+		c.refusals = c.e.limits.MaxRefusals
 	}
 	c.rounds++
 	c.exclude = c.exclude[:0]
@@ -290,11 +290,11 @@
 // givesUp reports whether more asking is of no use: too often refused, or so
 // much of the time limit is gone that the answer would come too late.
 func (c *call) givesUp() bool {
-	if c.refusals >= c.e.limits.Refusals {
+	if c.refusals >= c.e.limits.MaxRefusals {
 		return true
 	}
 	limit := c.spec.Deadline.Sub(c.spec.Arrived)
-	share := time.Duration(float64(limit) * c.e.limits.PlaceShare)
+	share := time.Duration(float64(limit) * c.e.limits.PlacementTimeFraction)
 	return c.admitted == 0 && time.Since(c.spec.Arrived) > share
 }
 
--- a/entry/dispatch_test.go
+++ b/entry/dispatch_test.go
@@ -191,11 +191,11 @@
 		b.fleet.mu.Lock()
 		b.fleet.dead["e0"] = true
 		b.fleet.mu.Unlock()
-		if n := b.CheckServers(time.Now()); n != 0 {
+		if n := b.CancelStalledAttempts(time.Now()); n != 0 {
 			t.Fatalf("%d ended before they were silent for long", n)
 		}
 		time.Sleep(stallTime)
-		if n := b.CheckServers(time.Now()); n != 1 {
+		if n := b.CancelStalledAttempts(time.Now()); n != 1 {
 			t.Fatalf("%d ended", n)
 		}
 		if text := <-texts; text != tokenText(3) {
--- a/entry/drain.go
+++ b/entry/drain.go
@@ -51,7 +51,7 @@
 	if e.draining {
 		return nil, drainingFailure()
 	}
-	if e.running.Load() >= e.limits.InProgress {
+	if e.running.Load() >= e.limits.MaxInProgress {
 		return nil, notRun(http.StatusServiceUnavailable, reasonBusy, "admission",
 			"this entry has as many requests as it takes; ask another", retryElsewhere)
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -24,8 +24,8 @@
 	"github.com/briarturn/briarturn/workspace"
 )
 
-// Rows is the table of backend servers. *backend.Table implements it.
-type Rows interface {
+// ServerTable is the table of backend servers. *backend.Table implements it.
+type ServerTable interface {
 	// Rows appends all rows of a pool to out, Sample some n of them and those
 	// with the keys in also.
 	Rows(pool string, out []backend.Row) []backend.Row
@@ -49,9 +49,9 @@
 	AllowRetry(workspace string) bool
 }
 
-// Dialer reaches agents by their drpc address. A run has a connection of its
+// AgentClient reaches agents by their drpc address. A run has a connection of its
 // own; cancelling its context frees the run at the agent.
-type Dialer interface {
+type AgentClient interface {
 	Run(ctx context.Context, address string) (wirepb.DRPCAgent_RunClient, error)
 	Hold(ctx context.Context, address string, in *wirepb.HoldRequest) (*wirepb.HoldResponse, error)
 	ExtendHolds(ctx context.Context, address string, in *wirepb.HoldRefs) (*wirepb.HoldStates, error)
@@ -69,14 +69,14 @@
 
 // Pool is what the entry needs to know of a ModelPool.
 type Pool struct {
-	Name          string
-	Models        []string
-	Adapters      map[string]string // to the model of each
-	ContextTokens int64             // longest prompt and output together; 0: no bound
-	MaxTokens     int64             // greatest max_tokens; 0: the entry's limit
-	// EngineTokens is the smallest KV memory of the pool's engines, 0 if
+	Name             string
+	Models           []string
+	Adapters         map[string]string // to the model of each
+	MaxContextTokens int64             // longest prompt and output together; 0: no bound
+	MaxTokens        int64             // greatest max_tokens; 0: the entry's limit
+	// EngineMemoryTokens is the smallest KV memory of the pool's engines, 0 if
 	// unknown; rows that say more prevail.
-	EngineTokens int64
+	EngineMemoryTokens int64
 	// ShortShare: see routing.Query.
 	ShortShare float64
 	Policy     routing.Policy // nil: the entry's
@@ -139,62 +139,62 @@
 	Region      string
 	Incarnation uint64
 
-	Rows       Rows
-	Policy     routing.Policy
-	Scheduler  Scheduler
-	Dialer     Dialer
-	Claimer    Claimer
-	Catalog    Catalog
-	Quarantine Quarantine
-	Costs      *routing.CostModel   // the policy's, to record what engines report
-	Prefixes   *routing.PrefixIndex // the policy's, to note what engines will cache
+	Servers     ServerTable
+	Policy      routing.Policy
+	Scheduler   Scheduler
+	AgentClient AgentClient
+	Claimer     Claimer
+	Catalog     Catalog
+	Quarantine  Quarantine
+	Costs       *routing.CostModel   // the policy's, to record what engines report
+	Prefixes    *routing.PrefixIndex // the policy's, to note what engines will cache
 
-	// Observe is told what became of each prompt; nil for none.
-	Observe func(slo.Observation)
-	Metrics metrics.Registry
-	Log     logrus.FieldLogger
-	Limits  Limits
+	// OnObservation is told what became of each prompt; nil for none.
+	OnObservation func(slo.Observation)
+	Metrics       metrics.Registry
+	Log           logrus.FieldLogger
+	Limits        Limits
 }
 
 // Limits bound what one request may take. Zero fields take their default.
 type Limits struct {
-	// InProgress is how many requests are at the entry at a time, 8,000: beyond
+	// MaxInProgress is how many requests are at the entry at a time, 8,000: beyond
 	// it their bodies alone could fill its memory.
-	InProgress       int64
-	BodyBytes        int64         // 8 MiB
-	HeaderBytes      int           // 64 KiB
-	HeaderTimeout    time.Duration // header of a request, 5 s
-	ReadTimeout      time.Duration // whole request, 30 s
-	WriteTimeout     time.Duration // one write to a slow caller, 30 s
-	IdleTimeout      time.Duration // idle caller connection, 2 min
-	DefaultTimeout   time.Duration // requests without X-Request-Timeout-Ms, 2 min
-	MaxTimeout       time.Duration // greatest X-Request-Timeout-Ms, 30 min
-	DefaultMaxTokens int64         // 256
-	MaxTokens        int64         // greatest max_tokens, 32768
-	PromptTokens     int64         // longest prompt, 1.2 M
-	AdmitWait        time.Duration // for an agent's Admit or Refuse, 2 s
-	LongAdmitWait    time.Duration // the same for long prompts and suspects, which an agent may let wait, 5 s
-	Refusals         int           // refusals before giving up, 64
-	Attempts         uint32        // attempts that were admitted, 4
-	HoldTTL          time.Duration // of a group's holds, 10 s
-	// PlaceShare is the part of the time limit within which an agent must have
+	MaxInProgress        int64
+	MaxBodyBytes         int64         // 8 MiB
+	MaxHeaderBytes       int           // 64 KiB
+	HeaderTimeout        time.Duration // header of a request, 5 s
+	ReadTimeout          time.Duration // whole request, 30 s
+	WriteTimeout         time.Duration // one write to a slow caller, 30 s
+	IdleTimeout          time.Duration // idle caller connection, 2 min
+	DefaultTimeout       time.Duration // requests without X-Request-Timeout-Ms, 2 min
+	MaxTimeout           time.Duration // greatest X-Request-Timeout-Ms, 30 min
+	DefaultMaxTokens     int64         // 256
+	MaxTokens            int64         // greatest max_tokens, 32768
+	MaxPromptTokens      int64         // longest prompt, 1.2 M
+	AdmissionTimeout     time.Duration // for an agent's Admit or Refuse, 2 s
+	LongAdmissionTimeout time.Duration // the same for long prompts and suspects, which an agent may let wait, 5 s
+	MaxRefusals          int           // refusals before giving up, 64
+	MaxAttempts          uint32        // attempts that were admitted, 4
+	HoldTTL              time.Duration // of a group's holds, 10 s
+	// PlacementTimeFraction is the part of the time limit within which an agent must have
 	// admitted the request, or a group's holds succeeded: 0.5.
-	PlaceShare float64
-	// GroupFill is the part of an engine's memory that a group segment may
+	PlacementTimeFraction float64
+	// GroupMemoryFraction is the part of an engine's memory that a group segment may
 	// take, 0.8: the rest leaves room for short work.
-	GroupFill float64
-	// SpreadTokens is how many tokens of a long prompt one member of a group
+	GroupMemoryFraction float64
+	// TokensPerGroupMember is how many tokens of a long prompt one member of a group
 	// takes, 128k, if more engines are there than its memory needs. Negative:
 	// groups take as few members as fit.
-	SpreadTokens int64
-	// GroupMembers is the greatest size of a group, 16.
-	GroupMembers int
+	TokensPerGroupMember int64
+	// MaxGroupMembers is the greatest size of a group, 16.
+	MaxGroupMembers int
 }
 
 func (l Limits) withDefaults() Limits {
-	l.InProgress = cmp.Or(l.InProgress, 8000)
-	l.BodyBytes = cmp.Or(l.BodyBytes, 8<<20)
-	l.HeaderBytes = cmp.Or(l.HeaderBytes, 64<<10)
+	l.MaxInProgress = cmp.Or(l.MaxInProgress, 8000)
+	l.MaxBodyBytes = cmp.Or(l.MaxBodyBytes, 8<<20)
+	l.MaxHeaderBytes = cmp.Or(l.MaxHeaderBytes, 64<<10)
 	l.HeaderTimeout = cmp.Or(l.HeaderTimeout, 5*time.Second)
 	l.ReadTimeout = cmp.Or(l.ReadTimeout, 30*time.Second)
 	l.WriteTimeout = cmp.Or(l.WriteTimeout, 30*time.Second)
@@ -203,16 +203,16 @@
 	l.MaxTimeout = cmp.Or(l.MaxTimeout, 30*time.Minute)
 	l.DefaultMaxTokens = cmp.Or(l.DefaultMaxTokens, 256)
 	l.MaxTokens = cmp.Or(l.MaxTokens, 32<<10)
-	l.PromptTokens = cmp.Or(l.PromptTokens, 1_200_000)
-	l.AdmitWait = cmp.Or(l.AdmitWait, 2*time.Second)
-	l.LongAdmitWait = cmp.Or(l.LongAdmitWait, 5*time.Second)
-	l.Refusals = cmp.Or(l.Refusals, 64)
-	l.Attempts = cmp.Or(l.Attempts, 4)
+	l.MaxPromptTokens = cmp.Or(l.MaxPromptTokens, 1_200_000)
+	l.AdmissionTimeout = cmp.Or(l.AdmissionTimeout, 2*time.Second)
+	l.LongAdmissionTimeout = cmp.Or(l.LongAdmissionTimeout, 5*time.Second)
+	l.MaxRefusals = cmp.Or(l.MaxRefusals, 64)
+	l.MaxAttempts = cmp.Or(l.MaxAttempts, 4)
 	l.HoldTTL = cmp.Or(l.HoldTTL, 10*time.Second)
-	l.PlaceShare = cmp.Or(l.PlaceShare, 0.5)
-	l.GroupFill = cmp.Or(l.GroupFill, 0.8)
-	l.SpreadTokens = cmp.Or(l.SpreadTokens, 128_000)
-	l.GroupMembers = cmp.Or(l.GroupMembers, 16)
+	l.PlacementTimeFraction = cmp.Or(l.PlacementTimeFraction, 0.5)
+	l.GroupMemoryFraction = cmp.Or(l.GroupMemoryFraction, 0.8)
+	l.TokensPerGroupMember = cmp.Or(l.TokensPerGroupMember, 128_000)
+	l.MaxGroupMembers = cmp.Or(l.MaxGroupMembers, 16)
 	return l
 }
 
@@ -238,8 +238,8 @@
 	switch {
 	case cfg.Name == "":
 		return nil, errors.NotValidf("entry without a name")
-	case cfg.Rows == nil, cfg.Policy == nil, cfg.Scheduler == nil, cfg.Dialer == nil, cfg.Catalog == nil:
-		return nil, errors.NotValidf("entry %s: Rows, Policy, Scheduler, Dialer and Catalog must be set; it", cfg.Name)
+	case cfg.Servers == nil, cfg.Policy == nil, cfg.Scheduler == nil, cfg.AgentClient == nil, cfg.Catalog == nil:
+		return nil, errors.NotValidf("entry %s: Servers, Policy, Scheduler, AgentClient and Catalog must be set; it", cfg.Name)
 	case cfg.Metrics == nil || cfg.Log == nil:
 		return nil, errors.NotValidf("entry %s: Metrics and Log must be set; it", cfg.Name)
 	}
--- a/entry/group.go
+++ b/entry/group.go
@@ -115,7 +115,7 @@
 
 // count counts the group's work in the table of backend servers.
 func (g *group) count() (done func()) {
-	rows := g.c.e.cfg.Rows
+	rows := g.c.e.cfg.Servers
 	now := time.Now()
 	var dispatches []backend.Dispatch
 	for _, m := range g.members {
--- a/entry/group_holds.go
+++ b/entry/group_holds.go
@@ -29,7 +29,7 @@
 		passes := waitsForMemory(refused.refuse)
 		if ctx.Err() != nil || !passes || g.c.givesUp() {
 			if passes {
-				g.c.refusals = g.c.e.limits.Refusals // its time is used up
+				g.c.refusals = g.c.e.limits.MaxRefusals // its time is used up
 			}
 			return refused
 		}
@@ -57,10 +57,10 @@
 }
 
 func (g *group) hold(ctx context.Context, m *member) *result {
-	ctx, cancel := context.WithTimeout(ctx, g.c.e.limits.AdmitWait)
+	ctx, cancel := context.WithTimeout(ctx, g.c.e.limits.AdmissionTimeout)
 	defer cancel()
 	m.asked = true
-	out, err := g.c.e.cfg.Dialer.Hold(ctx, m.RPCAddress, &wirepb.HoldRequest{
+	out, err := g.c.e.cfg.AgentClient.Hold(ctx, m.RPCAddress, &wirepb.HoldRequest{
 		HoldId:           m.holdID,
 		RequestId:        g.c.spec.ID,
 		Entry:            g.c.e.cfg.Name,
@@ -101,13 +101,13 @@
 // by the hold's expiry. The ids are used up: an agent refuses a released id, so
 // that a Hold delayed on its way can't take memory for nobody.
 func (g *group) release(members []*member) {
-	ctx, cancel := context.WithTimeout(context.Background(), g.c.e.limits.AdmitWait)
+	ctx, cancel := context.WithTimeout(context.Background(), g.c.e.limits.AdmissionTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	for _, m := range members {
 		refs := g.refs(m, 0)
 		wg.Go(func() {
-			if _, err := g.c.e.cfg.Dialer.ReleaseHolds(ctx, m.RPCAddress, refs); err != nil {
+			if _, err := g.c.e.cfg.AgentClient.ReleaseHolds(ctx, m.RPCAddress, refs); err != nil {
 				g.c.e.meters.count("entry.holds.release_failed")
 			}
 		})
@@ -168,7 +168,7 @@
 		// no earlier.
 		sent := time.Now()
 		callCtx, done := context.WithTimeout(ctx, ttl/extendsPerTTL)
-		out, err := g.c.e.cfg.Dialer.ExtendHolds(callCtx, m.RPCAddress, refs)
+		out, err := g.c.e.cfg.AgentClient.ExtendHolds(callCtx, m.RPCAddress, refs)
 		done()
 		lost := err != nil && time.Since(extended) >= ttl
 		if lost || len(out.GetUnknown()) > 0 {
--- a/entry/group_size.go
+++ b/entry/group_size.go
@@ -27,11 +27,11 @@
 // first token: one for each SpreadTokens, and at most half of those known, so
 // that two groups need not wait for each other.
 func (c *call) spread(known capacities) int {
-	if c.spec.Class() < request.ClassHuge || c.e.limits.SpreadTokens < 0 {
+	if c.spec.Class() < request.ClassHuge || c.e.limits.TokensPerGroupMember < 0 {
 		return 0
 	}
-	n := ceilDiv(c.spec.PromptTokens, c.e.limits.SpreadTokens)
-	return min(max(n, minGroup), known.servers/2, c.e.limits.GroupMembers)
+	n := ceilDiv(c.spec.PromptTokens, c.e.limits.TokensPerGroupMember)
+	return min(max(n, minGroup), known.servers/2, c.e.limits.MaxGroupMembers)
 }
 
 func ceilDiv(a, b int64) int { return int((a + b - 1) / b) }
@@ -47,7 +47,7 @@
 func (c *call) capacities() (known capacities) {
 	buffer := rowsPool.Get().(*[]backend.Row)
 	defer rowsPool.Put(buffer)
-	*buffer = c.e.cfg.Rows.Sample(c.pool, routing.SampleSize(c.spec.Class()), nil, c.rnd, (*buffer)[:0])
+	*buffer = c.e.cfg.Servers.Sample(c.pool, routing.SampleSize(c.spec.Class()), nil, c.rnd, (*buffer)[:0])
 	for i := range *buffer {
 		n := (*buffer)[i].CapacityTokens()
 		if n <= 0 {
@@ -68,7 +68,7 @@
 // groupSize returns how many engines the prompt is spread over.
 func (c *call) groupSize() int {
 	known := c.capacities()
-	usable := max(int64(float64(known.smallest)*c.e.limits.GroupFill), 1)
+	usable := max(int64(float64(known.smallest)*c.e.limits.GroupMemoryFraction), 1)
 	needed := ceilDiv(c.spec.PromptTokens+c.spec.MaxTokens, usable)
 	return max(minGroup, needed, c.spread(known))
 }
@@ -76,12 +76,12 @@
 // admitGroup refuses at once a prompt that no group may be large enough for.
 func (c *call) admitGroup() *request.Failure {
 	n := c.groupSize()
-	if n <= c.e.limits.GroupMembers {
+	if n <= c.e.limits.MaxGroupMembers {
 		c.expectGroup(n)
 		return nil
 	}
 	return notRun(http.StatusRequestEntityTooLarge, reasonTooLarge, "admission",
-		fmt.Sprintf("the prompt needs %d engines, the limit is %d", n, c.e.limits.GroupMembers), 0)
+		fmt.Sprintf("the prompt needs %d engines, the limit is %d", n, c.e.limits.MaxGroupMembers), 0)
 }
 
 // expectGroup estimates the time to first token on n members, for the queue.
--- a/entry/harness_test.go
+++ b/entry/harness_test.go
@@ -181,7 +181,7 @@
 	return len(a.starts)
 }
 
-// fakeFleet is a Dialer, a Rows and a Policy over fake agents, best first.
+// fakeFleet is an AgentClient, a ServerTable and a Policy over fake agents, best first.
 type fakeFleet struct {
 	agents   map[string]*fakeAgent // by name, which is also the address
 	order    []string
@@ -390,8 +390,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	e, err := New(Config{Name: "en1", Zone: "hobart", Incarnation: 1, Rows: f, Policy: f, Scheduler: b.scheduler,
-		Dialer: f, Claimer: claims, Catalog: fakeCatalog{}, Quarantine: b.book,
+	e, err := New(Config{Name: "en1", Zone: "hobart", Incarnation: 1, Servers: f, Policy: f, Scheduler: b.scheduler,
+		AgentClient: f, Claimer: claims, Catalog: fakeCatalog{}, Quarantine: b.book,
 		Metrics: metrics.NewRegistry(), Log: log, Limits: limits})
 	if err != nil {
 		t.Fatal(err)
--- a/entry/http.go
+++ b/entry/http.go
@@ -59,7 +59,7 @@
 		Handler:           e.Handler(),
 		ReadHeaderTimeout: e.limits.HeaderTimeout,
 		IdleTimeout:       e.limits.IdleTimeout,
-		MaxHeaderBytes:    e.limits.HeaderBytes,
+		MaxHeaderBytes:    e.limits.MaxHeaderBytes,
 	}
 }
 
@@ -157,9 +157,9 @@
 		return f
 	}
 	spec.PromptTokens = body.promptTokens()
-	longest := e.limits.PromptTokens
-	if pool.ContextTokens > 0 {
-		longest = min(longest, pool.ContextTokens-spec.MaxTokens)
+	longest := e.limits.MaxPromptTokens
+	if pool.MaxContextTokens > 0 {
+		longest = min(longest, pool.MaxContextTokens-spec.MaxTokens)
 	}
 	if spec.PromptTokens > longest {
 		return notRun(http.StatusRequestEntityTooLarge, reasonTooLarge, "read",
@@ -274,10 +274,10 @@
 
 // readBody reads the whole body within the read timeout.
 func (e *Entry) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *request.Failure) {
-	if r.ContentLength > e.limits.BodyBytes {
+	if r.ContentLength > e.limits.MaxBodyBytes {
 		return nil, e.bodyTooLarge()
 	}
-	body, err := readAll(http.MaxBytesReader(w, r.Body, e.limits.BodyBytes), r.ContentLength)
+	body, err := readAll(http.MaxBytesReader(w, r.Body, e.limits.MaxBodyBytes), r.ContentLength)
 	if err == nil {
 		_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 		return body, nil
@@ -306,7 +306,7 @@
 
 func (e *Entry) bodyTooLarge() *request.Failure {
 	return notRun(http.StatusRequestEntityTooLarge, reasonTooLarge, "read",
-		fmt.Sprintf("the body is larger than %d bytes", e.limits.BodyBytes), 0)
+		fmt.Sprintf("the body is larger than %d bytes", e.limits.MaxBodyBytes), 0)
 }
 
 // models answers GET /v1/models.
--- a/entry/http_test.go
+++ b/entry/http_test.go
@@ -24,11 +24,11 @@
 
 // The parts of other packages that the role is built from.
 var (
-	_ Rows       = (*backend.Table)(nil)
-	_ Scheduler  = (*workspace.Scheduler)(nil)
-	_ Dialer     = (*wire.Dialer)(nil)
-	_ Quarantine = (*quarantine.Tracker)(nil)
-	_ Claimer    = (*claim.Claimer)(nil)
+	_ ServerTable = (*backend.Table)(nil)
+	_ Scheduler   = (*workspace.Scheduler)(nil)
+	_ AgentClient = (*wire.Dialer)(nil)
+	_ Quarantine  = (*quarantine.Tracker)(nil)
+	_ Claimer     = (*claim.Claimer)(nil)
 )
 
 // Symptom: a bad request costs engine time, or its caller can't tell what is
@@ -37,7 +37,7 @@
 // Cause: all is checked before the queue, with a reason and a counter each.
 func TestBadRequestsAreRefusedWithAReason(t *testing.T) {
 	agent := &fakeAgent{script: answers(1)}
-	b := newBench(t, fleet(agent), Limits{BodyBytes: 1000, PromptTokens: 50})
+	b := newBench(t, fleet(agent), Limits{MaxBodyBytes: 1000, MaxPromptTokens: 50})
 	chatOf := func(extra string) string {
 		return `{"model":"m","messages":[{"role":"user","content":"x"}]` + extra + `}`
 	}
@@ -268,7 +268,7 @@
 			time.Sleep(5 * time.Second)
 			r.tokens(0, 1)
 			return r.end(okEnd(1))
-		}}), Limits{InProgress: 1})
+		}}), Limits{MaxInProgress: 1})
 		first := make(chan int, 1)
 		go func() { first <- chat(b, chatBodyText).Code }()
 		time.Sleep(time.Second)
--- a/entry/observe.go
+++ b/entry/observe.go
@@ -12,7 +12,7 @@
 // service has no tokens, and a request that failed through its caller's own
 // fault says nothing of the system.
 func (c *call) observe(f *request.Failure, now time.Time) {
-	if c.e.cfg.Observe == nil || c.body == nil || callersFault(f) {
+	if c.e.cfg.OnObservation == nil || c.body == nil || callersFault(f) {
 		return
 	}
 	o := slo.Observation{
@@ -27,7 +27,7 @@
 	if gaps := c.output - 1; gaps > 0 {
 		o.InterToken = now.Sub(c.firstToken) / time.Duration(gaps)
 	}
-	c.e.cfg.Observe(o)
+	c.e.cfg.OnObservation(o)
 }
 
 // callersFault reports whether a failure is due to the caller: a wrong request,
--- a/entry/outcome.go
+++ b/entry/outcome.go
@@ -50,14 +50,14 @@
 	}
 	c.exclude = append(c.exclude, res.peer)
 	if !res.sent && res.refuse == nil {
-		c.e.cfg.Rows.MarkSuspect(res.peer)
+		c.e.cfg.Servers.MarkSuspect(res.peer)
 	}
 	if res.provedNotRun() {
 		c.refusals++
 		c.e.meters.refusals.Inc(1)
 		return f, c.givesUp()
 	}
-	if c.admitted >= c.e.limits.Attempts || !c.e.cfg.Scheduler.AllowRetry(c.spec.Workspace) {
+	if c.admitted >= c.e.limits.MaxAttempts || !c.e.cfg.Scheduler.AllowRetry(c.spec.Workspace) {
 		return f, true
 	}
 	c.e.meters.retries.Inc(1)
--- a/entry/path_test.go
+++ b/entry/path_test.go
@@ -54,8 +54,8 @@
 	dialer := wire.NewDialer(wire.Options{})
 	scheduler := workspace.NewScheduler(workspace.Options{})
 	openWindow(scheduler)
-	p.entry, err = New(Config{Name: "en1", Incarnation: 1, Rows: table, Policy: policy,
-		Scheduler: scheduler, Dialer: dialer, Catalog: fakeCatalog{},
+	p.entry, err = New(Config{Name: "en1", Incarnation: 1, Servers: table, Policy: policy,
+		Scheduler: scheduler, AgentClient: dialer, Catalog: fakeCatalog{},
 		Quarantine: quarantine.NewTracker(quarantine.DefaultOptions), Metrics: metrics.NewRegistry(), Log: quiet.Logger()})
 	if err != nil {
 		t.Fatal(err)
--- a/entry/spread_test.go
+++ b/entry/spread_test.go
@@ -42,7 +42,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := longFleet(c.servers)
 				f.memory = 1_000_000
-				b := newBench(t, f, Limits{SpreadTokens: c.spread})
+				b := newBench(t, f, Limits{TokensPerGroupMember: c.spread})
 				wantText(t, chat(b, hugeBody(c.tokens)), tokenText(3))
 				if n := members(b); n != c.want {
 					t.Fatalf("spread over %d, want %d", n, c.want)
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -62,7 +62,7 @@
 	return out
 }
 
-// CheckServers ends the silent attempts on servers that are dead, or whose agent
+// CancelStalledAttempts ends the silent attempts on servers that are dead, or whose agent
 // has restarted since, so that they are tried elsewhere. Call it about once a
 // second, behind the table's Sweep.
 //
@@ -70,9 +70,9 @@
 // its requests would wait for their whole time limit and then fail, while other
 // servers have room. Only attempts that may be repeated are ended; for the
 // others a late answer is better than none.
-func (e *Entry) CheckServers(now time.Time) (ended int) {
+func (e *Entry) CancelStalledAttempts(now time.Time) (ended int) {
 	for _, w := range e.watch.silent(now.Add(-stallTime)) {
-		row, known := e.cfg.Rows.Lookup(w.server)
+		row, known := e.cfg.Servers.Lookup(w.server)
 		if !known || !gone(&row, w.incarnation) {
 			continue
 		}
--- a/internal/dev/abuse_test.go
+++ b/internal/dev/abuse_test.go
@@ -31,7 +31,7 @@
 func startAbused(t *testing.T) *Fleet {
 	return startSmall(t, func(c *Config) {
 		c.EntryLimits = entry.Limits{
-			BodyBytes: abuseBody, HeaderBytes: abuseHeaders,
+			MaxBodyBytes: abuseBody, MaxHeaderBytes: abuseHeaders,
 			HeaderTimeout: abuseTimeout, ReadTimeout: abuseTimeout, WriteTimeout: abuseTimeout,
 			MaxTokens: 1 << 20,
 		}
--- a/internal/node/entry_catalog.go
+++ b/internal/node/entry_catalog.go
@@ -73,10 +73,10 @@
 
 func entryPool(name string, p *declared.ModelPool) entry.Pool {
 	out := entry.Pool{
-		Name:         name,
-		EngineTokens: p.Engine.MemoryTokens,
-		Adapters:     map[string]string{},
-		ShortShare:   shortShare(p.LongPrefillShare),
+		Name:               name,
+		EngineMemoryTokens: p.Engine.MemoryTokens,
+		Adapters:           map[string]string{},
+		ShortShare:         shortShare(p.LongPrefillShare),
 	}
 	for _, m := range p.Models {
 		out.Models = append(out.Models, m.Name)
--- a/internal/node/entry_upkeep.go
+++ b/internal/node/entry_upkeep.go
@@ -91,7 +91,7 @@
 // repeated goes on elsewhere instead of waiting for its time limit.
 func (n *Entry) sweep(now time.Time) {
 	n.table.Sweep(now)
-	n.entry.CheckServers(now)
+	n.entry.CancelStalledAttempts(now)
 }
 
 // askSeeds takes the list of entries and the declared state from the entries
--- a/settings/entry.go
+++ b/settings/entry.go
@@ -32,7 +32,7 @@
 	PromptTokens     int64 `json:"prompt_tokens" validate:"min=1,max=100000000"`
 	DefaultMaxTokens int64 `json:"default_max_tokens" validate:"min=1,max=10000000"`
 	MaxTokens        int64 `json:"max_tokens" validate:"min=1,max=10000000"`
-	// SpreadTokens: see entry.Limits; -1 keeps groups as small as fit.
+	// SpreadTokens: see TokensPerGroupMember of entry.Limits; -1 keeps groups as small as fit.
 	SpreadTokens int64 `json:"spread_tokens" validate:"min=-1,max=100000000,ne=0"`
 }
 
