--- a/agent/admit.go
+++ b/agent/admit.go
@@ -143,7 +143,7 @@
 }
 
 func checkBody(a *Agent, r *run) *refusal {
-	if a.bodies+r.start.BodyBytes > a.cfg.Limits.MaxBodiesBytes {
+	if a.bodies+r.start.BodyBytes > a.cfg.Limits.MaxTotalBodyBytes {
 		return &refusal{wirepb.RefuseCode_REFUSE_BUSY, "too many bodies on the way"}
 	}
 	return nil
@@ -211,9 +211,9 @@
 // patience is how long a run may wait for admission.
 func (a *Agent) patience(r *run) time.Duration {
 	if r.start.Alone {
-		return a.cfg.Limits.LoneWait
+		return a.cfg.Limits.RunAloneAdmissionTimeout
 	}
-	return a.cfg.Limits.LongWait
+	return a.cfg.Limits.LongAdmissionTimeout
 }
 
 // mayWait puts a run in line if what refused it passes by itself.
@@ -239,7 +239,7 @@
 func (a *Agent) lineFor(r *run, code wirepb.RefuseCode) (line *[]*run, limit int) {
 	switch code {
 	case wirepb.RefuseCode_REFUSE_SUSPECT_ALONE:
-		return &a.loneWaiting, a.cfg.Limits.MaxLoneWaiting
+		return &a.loneWaiting, a.cfg.Limits.MaxRunAloneWaiting
 	case wirepb.RefuseCode_REFUSE_BUSY, wirepb.RefuseCode_REFUSE_NO_MEMORY:
 		if r.start.Long {
 			return &a.longWaiting, a.cfg.Limits.MaxLongWaiting
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -126,9 +126,9 @@
 	return d
 }
 
-// EntryDead frees all that an entry's incarnation had here. Membership calls it
+// ReleaseEntry frees all that an entry's incarnation had here. Membership calls it
 // when the entry is known to be dead; a broken stream needs no such call.
-func (a *Agent) EntryDead(entry string, incarnation uint64) {
+func (a *Agent) ReleaseEntry(entry string, incarnation uint64) {
 	owner := backend.Owner{Entry: entry, Incarnation: incarnation}
 	a.apply(a.ledger.OwnerDead(a.cfg.Now(), owner), errOwnerGone)
 }
--- a/agent/config.go
+++ b/agent/config.go
@@ -30,9 +30,9 @@
 	OnEngineDeath func(death Death) (heard <-chan struct{})
 	// OnChange is told that the descriptor changed. It must not block.
 	OnChange func()
-	// TellDrain, if given, returns once entries know of an announced drain, or
+	// AwaitDrainPropagation, if given, returns once entries know of an announced drain, or
 	// after a bounded time.
-	TellDrain func(ctx context.Context)
+	AwaitDrainPropagation func(ctx context.Context)
 	// Fences admits or refuses orders by their lease. Without it every order is
 	// refused.
 	Fences *lease.Gate
@@ -47,20 +47,20 @@
 
 // Limits bound what an agent takes on. Zero fields take the defaults.
 type Limits struct {
-	MaxRunning        int           // runs at a time; default 256
-	MaxLongWaiting    int           // long runs that wait for admission; default 8
-	LongPrefillTokens int64         // long prompts in prefill together; default 400,000
-	LongWait          time.Duration // a long run waits so long for admission; default 5 s
-	MaxLoneWaiting    int           // suspects that wait for an idle engine; default 16
-	LoneWait          time.Duration // a suspect waits so long, under the entries' LongAdmitWait; default 4 s
-	MaxBodyBytes      uint64        // one request; default 32 MiB
-	MaxBodiesBytes    uint64        // bodies of all runs not yet sent on; default 128 MiB
-	BodyTimeout       time.Duration // from Admit to the whole body; default 10 s
-	MaxTimeout        time.Duration // longest time limit; default 24 h, as entries accept
-	SendGrace         time.Duration // to write an End to an entry that doesn't read; default 2 s
-	HealthInterval    time.Duration // between looks at the engine; default 1 s
-	ProbeTimeout      time.Duration // of one look; default 1 s
-	OrderTimeout      time.Duration // default 2 min
+	MaxRunning               int           // runs at a time; default 256
+	MaxLongWaiting           int           // long runs that wait for admission; default 8
+	LongPrefillTokens        int64         // long prompts in prefill together; default 400,000
+	LongAdmissionTimeout     time.Duration // a long run waits so long for admission; default 5 s
+	MaxRunAloneWaiting       int           // suspects that wait for an idle engine; default 16
+	RunAloneAdmissionTimeout time.Duration // a suspect waits so long, under the entries' LongAdmitWait; default 4 s
+	MaxBodyBytes             uint64        // one request; default 32 MiB
+	MaxTotalBodyBytes        uint64        // bodies of all runs not yet sent on; default 128 MiB
+	BodyTimeout              time.Duration // from Admit to the whole body; default 10 s
+	MaxTimeout               time.Duration // longest time limit; default 24 h, as entries accept
+	SendGrace                time.Duration // to write an End to an entry that doesn't read; default 2 s
+	HealthInterval           time.Duration // between looks at the engine; default 1 s
+	ProbeTimeout             time.Duration // of one look; default 1 s
+	OrderTimeout             time.Duration // default 2 min
 }
 
 // Defaults of Limits.
@@ -85,11 +85,11 @@
 	l.MaxRunning = cmp.Or(l.MaxRunning, defaultMaxRunning)
 	l.MaxLongWaiting = cmp.Or(l.MaxLongWaiting, defaultMaxLongWaiting)
 	l.LongPrefillTokens = cmp.Or(l.LongPrefillTokens, defaultLongPrefill)
-	l.LongWait = cmp.Or(l.LongWait, defaultLongWait)
-	l.MaxLoneWaiting = cmp.Or(l.MaxLoneWaiting, defaultMaxLoneWaiting)
-	l.LoneWait = cmp.Or(l.LoneWait, defaultLoneWait)
+	l.LongAdmissionTimeout = cmp.Or(l.LongAdmissionTimeout, defaultLongWait)
+	l.MaxRunAloneWaiting = cmp.Or(l.MaxRunAloneWaiting, defaultMaxLoneWaiting)
+	l.RunAloneAdmissionTimeout = cmp.Or(l.RunAloneAdmissionTimeout, defaultLoneWait)
 	l.MaxBodyBytes = cmp.Or(l.MaxBodyBytes, defaultMaxBody)
-	l.MaxBodiesBytes = cmp.Or(l.MaxBodiesBytes, defaultMaxBodies)
+	l.MaxTotalBodyBytes = cmp.Or(l.MaxTotalBodyBytes, defaultMaxBodies)
 	l.BodyTimeout = cmp.Or(l.BodyTimeout, defaultBodyTimeout)
 	l.MaxTimeout = cmp.Or(l.MaxTimeout, defaultMaxTimeout)
 	l.SendGrace = cmp.Or(l.SendGrace, defaultSendGrace)
--- a/agent/drain.go
+++ b/agent/drain.go
@@ -52,12 +52,12 @@
 	close(a.drained)
 }
 
-// Leave announces the drain, gives entries time to hear of it (Config.TellDrain)
+// DrainGracefully announces the drain, gives entries time to hear of it (Config.AwaitDrainPropagation)
 // and then refuses new work. One that drains already is not announced again.
 //
 // An agent that refuses before it has told costs each request that is on its
 // way, or sent by an entry that hasn't heard, a round trip and a retry.
-func (a *Agent) Leave(ctx context.Context, reason string) {
+func (a *Agent) DrainGracefully(ctx context.Context, reason string) {
 	a.mu.Lock()
 	draining := a.draining
 	a.mu.Unlock()
@@ -65,15 +65,15 @@
 		return
 	}
 	a.AnnounceDrain()
-	if a.cfg.TellDrain != nil {
-		a.cfg.TellDrain(ctx)
+	if a.cfg.AwaitDrainPropagation != nil {
+		a.cfg.AwaitDrainPropagation(ctx)
 	}
 	a.BeginDrain(reason)
 }
 
-// Drain is Leave as a call. It goes on if the caller goes away.
+// Drain is DrainGracefully as a call. It goes on if the caller goes away.
 func (a *Agent) Drain(ctx context.Context, in *wirepb.DrainRequest) (*wirepb.AgentStatus, error) {
-	a.Leave(a.ctx, in.Reason)
+	a.DrainGracefully(a.ctx, in.Reason)
 	return a.Status(ctx, &wirepb.StatusRequest{})
 }
 
--- a/agent/engine.go
+++ b/agent/engine.go
@@ -80,12 +80,12 @@
 type EngineLoad struct {
 	UsedTokens int64
 	Requests   []EngineRequest
-	Boot       string // changes when the engine restarted
+	BootID     string // changes when the engine restarted
 }
 
-// EngineServes is what the engine has loaded and its role. Versions are 0 and
+// EngineInventory is what the engine has loaded and its role. Versions are 0 and
 // the role is empty where the engine doesn't tell them.
-type EngineServes struct {
+type EngineInventory struct {
 	Weights []backend.Weights
 	Role    backend.Role
 }
@@ -126,6 +126,6 @@
 	Order(ctx context.Context, order EngineOrder) error
 	Health(ctx context.Context) error
 	Load(ctx context.Context) (EngineLoad, error)
-	// Serves lists what the engine has loaded. It must not lag.
-	Serves(ctx context.Context) (EngineServes, error)
+	// Inventory lists what the engine has loaded. It must not lag.
+	Inventory(ctx context.Context) (EngineInventory, error)
 }
--- a/agent/failure_test.go
+++ b/agent/failure_test.go
@@ -31,7 +31,7 @@
 		expectEnd(t, one.end(), wirepb.EndCode_END_ENGINE_DIED, true)
 		expectEnd(t, two.end(), wirepb.EndCode_END_ENGINE_DIED, true)
 		death := <-deaths
-		if len(death.Running) != 2 || death.Running[0].Fingerprint != 42 || death.ID == 0 {
+		if len(death.Suspects) != 2 || death.Suspects[0].Fingerprint != 42 || death.ID == 0 {
 			t.Fatalf("%+v", death)
 		}
 		expectFree(t, a)
@@ -59,7 +59,7 @@
 		close(e.streams["1.1"].broken)
 		e.mu.Unlock()
 		expectEnd(t, at.end(), wirepb.EndCode_END_ENGINE_DIED, true)
-		if d := a.LastDeath(); len(d.Running) != 1 {
+		if d := a.LastDeath(); len(d.Suspects) != 1 {
 			t.Fatalf("%+v", d)
 		}
 	})
@@ -103,7 +103,7 @@
 			e.down, e.boot = nil, boot
 			e.mu.Unlock()
 			time.Sleep(2 * time.Second)
-			if d := a.LastDeath(); len(d.Running) != accused {
+			if d := a.LastDeath(); len(d.Suspects) != accused {
 				t.Fatalf("boot %s: %+v", boot, d)
 			}
 			close(e.stream("long.1").chunks)
@@ -368,7 +368,7 @@
 		cfg := testConfig(e)
 		var a *Agent
 		told := 0
-		cfg.TellDrain = func(context.Context) {
+		cfg.AwaitDrainPropagation = func(context.Context) {
 			told++
 			if !a.Load().Draining {
 				t.Error("entries can't hear of it")
--- a/agent/fake_test.go
+++ b/agent/fake_test.go
@@ -159,13 +159,13 @@
 func (e *fakeEngine) Load(context.Context) (EngineLoad, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return EngineLoad{UsedTokens: e.used, Requests: e.requests, Boot: e.boot}, e.down
+	return EngineLoad{UsedTokens: e.used, Requests: e.requests, BootID: e.boot}, e.down
 }
 
-func (e *fakeEngine) Serves(context.Context) (EngineServes, error) {
+func (e *fakeEngine) Inventory(context.Context) (EngineInventory, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return EngineServes{Weights: slices.Clone(e.weights)}, e.down
+	return EngineInventory{Weights: slices.Clone(e.weights)}, e.down
 }
 
 func (e *fakeEngine) Service(context.Context, *ServiceCall) (ServiceStream, error) {
--- a/agent/health.go
+++ b/agent/health.go
@@ -38,10 +38,10 @@
 
 // Death is one death of the engine and what it may have died of.
 type Death struct {
-	ID      uint64 // differs between deaths, equal in all reports of one
-	Server  string
-	At      time.Time
-	Running []Suspect
+	ID       uint64 // differs between deaths, equal in all reports of one
+	Server   string
+	At       time.Time
+	Suspects []Suspect
 }
 
 func suspectOf(r *run) Suspect {
@@ -93,7 +93,7 @@
 		return
 	}
 	a.engineAnswered(load)
-	a.list(ctx, load.Boot)
+	a.list(ctx, load.BootID)
 }
 
 // engineFailed notes that the engine didn't answer. Only a refused connection
@@ -124,14 +124,14 @@
 func (a *Agent) engineAnswered(load EngineLoad) {
 	a.mu.Lock()
 	wasUp := a.engine.up
-	restarted := a.engine.boot != "" && a.engine.boot != load.Boot
+	restarted := a.engine.boot != "" && a.engine.boot != load.BootID
 	died := restarted && !a.engine.dead
 	var death Death
 	if died {
 		// It died and came back between two looks.
 		death = a.recordDeath()
 	}
-	a.engine = engineState{up: true, boot: load.Boot}
+	a.engine = engineState{up: true, boot: load.BootID}
 	a.broken = nil
 	a.mu.Unlock()
 	if !wasUp {
@@ -180,10 +180,10 @@
 		}
 	}
 	a.lastDeath = Death{
-		ID:      a.deathID(a.engine.boot),
-		Server:  a.cfg.Descriptor.Name,
-		At:      a.cfg.Now(),
-		Running: suspects,
+		ID:       a.deathID(a.engine.boot),
+		Server:   a.cfg.Descriptor.Name,
+		At:       a.cfg.Now(),
+		Suspects: suspects,
 	}
 	return a.lastDeath
 }
@@ -196,7 +196,7 @@
 
 func (a *Agent) reportDeath(death Death) {
 	a.counter.deaths.Inc(1)
-	a.cfg.Logger.WithField("server", death.Server).WithField("running", len(death.Running)).
+	a.cfg.Logger.WithField("server", death.Server).WithField("running", len(death.Suspects)).
 		Warn("engine died")
 	if a.cfg.OnEngineDeath == nil {
 		return
--- a/agent/http_test.go
+++ b/agent/http_test.go
@@ -22,7 +22,7 @@
 	t.Cleanup(server.Close)
 	client := engine.New(engine.Config{Address: address})
 	t.Cleanup(client.Close)
-	cfg := testConfig(OverHTTP(client, false))
+	cfg := testConfig(NewHTTPEngine(client, false))
 	cfg.Descriptor.MemoryTokens = 400_000
 	return server, startAgent(t, cfg)
 }
@@ -109,7 +109,7 @@
 func TestKillingPromptOverHTTP(t *testing.T) {
 	_, a := startEngine(t)
 	expectEnd(t, ask(t, a, "r", "KILL", 20).end(), wirepb.EndCode_END_ENGINE_DIED, true)
-	if d := a.LastDeath(); len(d.Running) != 1 || d.Running[0].RequestID != "r" {
+	if d := a.LastDeath(); len(d.Suspects) != 1 || d.Suspects[0].RequestID != "r" {
 		t.Fatalf("%+v", d)
 	}
 	expectRefusal(t, open(t, a, chatStart("s")), wirepb.RefuseCode_REFUSE_ENGINE_DOWN)
@@ -151,7 +151,7 @@
 	t.Cleanup(server.Close)
 	client := engine.New(engine.Config{Address: address})
 	t.Cleanup(client.Close)
-	cfg := testConfig(OverHTTP(client, true))
+	cfg := testConfig(NewHTTPEngine(client, true))
 	cfg.Descriptor.Service, cfg.Descriptor.Pool = true, "roster-app"
 	a := startAgent(t, cfg)
 	start := chatStart("r")
--- a/agent/httpengine.go
+++ b/agent/httpengine.go
@@ -24,9 +24,9 @@
 	service bool
 }
 
-// OverHTTP makes an Engine of an HTTP client. Service says that a plain service
+// NewHTTPEngine makes an Engine of an HTTP client. Service says that a plain service
 // is behind it.
-func OverHTTP(client *engine.Client, service bool) Engine {
+func NewHTTPEngine(client *engine.Client, service bool) Engine {
 	return &httpEngine{client: client, service: service}
 }
 
@@ -198,12 +198,12 @@
 	return err
 }
 
-func (e *httpEngine) Serves(ctx context.Context) (EngineServes, error) {
+func (e *httpEngine) Inventory(ctx context.Context) (EngineInventory, error) {
 	models, err := e.client.Models(ctx)
 	if err != nil {
-		return EngineServes{}, typed(err)
+		return EngineInventory{}, typed(err)
 	}
-	out := EngineServes{Role: backend.Role(models.Role)}
+	out := EngineInventory{Role: backend.Role(models.Role)}
 	for _, m := range models.Data {
 		out.Weights = append(out.Weights, backend.Weights{
 			Name:    m.ID,
@@ -219,7 +219,7 @@
 	if err != nil {
 		return EngineLoad{}, typed(err)
 	}
-	out := EngineLoad{UsedTokens: load.Used, Boot: load.Boot}
+	out := EngineLoad{UsedTokens: load.Used, BootID: load.Boot}
 	for _, r := range load.Requests {
 		out.Requests = append(out.Requests, EngineRequest{ID: r.ID, Handle: r.Handle})
 	}
--- a/agent/run_test.go
+++ b/agent/run_test.go
@@ -263,7 +263,7 @@
 
 // Symptom: a long prompt waits in line for ever.
 // Sequence: the one before it never gets its first chunk.
-// Cause: nothing bounds the wait but LongWait.
+// Cause: nothing bounds the wait but LongAdmissionTimeout.
 func TestLongWaitIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := startAgent(t, testConfig(newFakeEngine()))
--- a/agent/serves.go
+++ b/agent/serves.go
@@ -27,7 +27,7 @@
 		return // what an order changes meanwhile would be overwritten by older news
 	}
 	defer func() { <-a.ordering }()
-	serves, err := a.cfg.Engine.Serves(ctx)
+	serves, err := a.cfg.Engine.Inventory(ctx)
 	if err != nil {
 		return // the next look asks again
 	}
@@ -39,7 +39,7 @@
 // takeList puts what the engine listed into the descriptor. Within one life of
 // the engine, what was withdrawn stays so, and a version that the engine doesn't
 // tell is the one that it was ordered to load.
-func (a *Agent) takeList(serves EngineServes, boot string) (changed bool) {
+func (a *Agent) takeList(serves EngineInventory, boot string) (changed bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	sameLife := a.listed == boot && boot != ""
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -111,20 +111,20 @@
 	var err error
 	n.client = engine.New(engine.Config{Address: n.cfg.BackendAddress, Metrics: n.cfg.Metrics})
 	n.agent, err = agent.New(agent.Config{
-		Descriptor:    n.cfg.Descriptor,
-		Incarnation:   n.incarnation,
-		Engine:        agent.OverHTTP(n.client, n.cfg.Descriptor.Service),
-		Limits:        n.cfg.Limits,
-		Logger:        n.tasks.log,
-		Metrics:       n.cfg.Metrics,
-		Quarantined:   n.quarantined,
-		OnEngineDeath: n.engineDied,
-		OnChange:      n.noteChange,
-		Fences:        lease.NewGate(n.cfg.Store),
-		TellDrain:     n.tellDrain,
-		ChecksFencing: n.checksFencing,
-		ConfigVersion: n.configVersion,
-		Homes:         n.homes,
+		Descriptor:            n.cfg.Descriptor,
+		Incarnation:           n.incarnation,
+		Engine:                agent.NewHTTPEngine(n.client, n.cfg.Descriptor.Service),
+		Limits:                n.cfg.Limits,
+		Logger:                n.tasks.log,
+		Metrics:               n.cfg.Metrics,
+		Quarantined:           n.quarantined,
+		OnEngineDeath:         n.engineDied,
+		OnChange:              n.noteChange,
+		Fences:                lease.NewGate(n.cfg.Store),
+		AwaitDrainPropagation: n.tellDrain,
+		ChecksFencing:         n.checksFencing,
+		ConfigVersion:         n.configVersion,
+		Homes:                 n.homes,
 	})
 	if err != nil {
 		n.closeReports()
@@ -234,7 +234,7 @@
 // DrainAndWait tells the entries, then refuses new work, and waits until all that
 // runs has ended or ctx ends; it returns ctx's error in the latter case.
 func (n *Agent) DrainAndWait(ctx context.Context) error {
-	n.agent.Leave(ctx, "shutdown")
+	n.agent.DrainGracefully(ctx, "shutdown")
 	select {
 	case <-n.agent.Drained():
 		return nil
@@ -307,7 +307,7 @@
 	if name != "" && name != n.cfg.Descriptor.Name {
 		return admin.DrainState{}, errors.Annotatef(admin.ErrUnknownName, "agent %s, asked for %s", n.cfg.Descriptor.Name, name)
 	}
-	n.agent.Leave(ctx, "operator")
+	n.agent.DrainGracefully(ctx, "operator")
 	load := n.agent.Load()
 	return admin.DrainState{Name: n.cfg.Descriptor.Name, Draining: true, Running: int64(load.Running)}, nil
 }
--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -52,7 +52,7 @@
 func (n *Agent) engineDied(death agent.Death) <-chan struct{} {
 	now := time.Now()
 	var list []*wirepb.Evidence
-	for _, s := range death.Running {
+	for _, s := range death.Suspects {
 		record, news := n.book.RecordDeath(s.Fingerprint, death.ID, now)
 		if news && record.Quarantined {
 			n.tasks.log.WithFields(logrus.Fields{"workspace": s.Workspace, "request": s.RequestID, "entry": s.Entry}).
