--- a/placement/burst_test.go
+++ b/placement/burst_test.go
@@ -7,38 +7,39 @@
 	"time"
 )
 
-// modelPart is a prompt's part on a model server.
-type modelPart struct {
-	prompt *modelPrompt
+// burstPart is a part of a prompt on a simulated server.
+type burstPart struct {
+	prompt *burstPrompt
 	left   time.Duration
 	tokens int
 	helper bool
 }
 
-// modelPrompt is a caller's prompt in a play.
-type modelPrompt struct {
-	query   Query
-	came    time.Time
-	placed  *Placement
-	unread  int // parts
-	firstAt time.Time
+// burstPrompt is a caller's prompt in a simulation.
+type burstPrompt struct {
+	query        Query
+	arrivedAt    time.Time
+	placed       *Placement
+	pendingParts int // parts that aren't prefilled
+	firstTokenAt time.Time
 }
 
-// onTime reports whether its first token came within the objective.
-func (p *modelPrompt) onTime() bool {
-	return !p.firstAt.IsZero() && p.firstAt.Sub(p.came) <= p.query.FirstTokenObjective
+// onTime reports whether the first token arrived within the objective.
+func (p *burstPrompt) onTime() bool {
+	return !p.firstTokenAt.IsZero() && p.firstTokenAt.Sub(p.arrivedAt) <= p.query.FirstTokenObjective
 }
 
-// modelServer reads in passes, as engines do, on its own account: the play checks the
-// planner, so that the planner's ledger must not be what tells how long things take.
-type modelServer struct {
-	parts []*modelPart // parts for others first, the newest of them ahead
-	free  time.Time    // end of the pass that goes on
+// burstServer simulates the prefill passes of an engine. It shares no state with the
+// ledger: the simulation checks the planner, so the ledger's forecasts must not determine
+// how long work takes.
+type burstServer struct {
+	parts   []*burstPart // helper parts first, the newest in front
+	passEnd time.Time    // end of the current pass
 }
 
-// pass reads for one pass and returns the parts that were read to their end.
-func (s *modelServer) pass(now time.Time) (done []*modelPart) {
-	room, length := engine.Chunk*idleSteps, time.Duration(0)
+// runPass runs one pass and returns the parts that it finishes.
+func (s *burstServer) runPass(now time.Time) (done []*burstPart) {
+	room, length := engine.Chunk*idlePassSteps, time.Duration(0)
 	for len(s.parts) > 0 && room > 0 {
 		p := s.parts[0]
 		tokens := min(room, p.tokens)
@@ -52,36 +53,36 @@
 		done = append(done, p)
 		s.parts = s.parts[1:]
 	}
-	s.free = now.Add(length)
+	s.passEnd = now.Add(length)
 	return done
 }
 
-// burstPlay plays long prompts over a fleet of model servers in virtual time. Prompts
-// that the planner doesn't place ask again, as the gateway does.
-type burstPlay struct {
+// burstSim simulates long prompts on a fleet of servers in virtual time. Prompts that the
+// planner doesn't place are retried, as in the gateway.
+type burstSim struct {
 	*fleet
-	servers []*modelServer
-	named   map[string]*modelServer // the same by instance
-	waiting []*modelPrompt
+	servers    []*burstServer
+	byInstance map[string]*burstServer // servers by instance
+	waiting    []*burstPrompt
 }
 
-func newBurstPlay(servers int, random *rand.Rand) *burstPlay {
-	b := &burstPlay{fleet: newFleet(servers), named: map[string]*modelServer{}}
+func newBurstSim(servers int, random *rand.Rand) *burstSim {
+	b := &burstSim{fleet: newFleet(servers), byInstance: map[string]*burstServer{}}
 	b.planner.shuffle = random.Shuffle
 	for _, c := range b.candidates {
-		s := &modelServer{}
+		s := &burstServer{}
 		b.servers = append(b.servers, s)
-		b.named[c.Instance] = s
+		b.byInstance[c.Instance] = s
 	}
 	return b
 }
 
-// tryWaiting offers every prompt that waits to the planner.
-func (b *burstPlay) tryWaiting() {
-	var left []*modelPrompt
+// placeWaiting tries to place every waiting prompt.
+func (b *burstSim) placeWaiting() {
+	var left []*burstPrompt
 	for _, p := range b.waiting {
 		q := p.query
-		waited := b.now.Sub(p.came)
+		waited := b.now.Sub(p.arrivedAt)
 		q.Engine, q.Waited = engine, waited
 		q.FirstTokenObjective -= waited
 		q.TimeLeft -= waited
@@ -90,53 +91,54 @@
 			left = append(left, p)
 			continue
 		}
-		b.begin(p, placed)
+		b.start(p, placed)
 	}
 	b.waiting = left
 }
 
-func (b *burstPlay) begin(p *modelPrompt, placed Placement) {
+func (b *burstSim) start(p *burstPrompt, placed Placement) {
 	p.placed = &placed
 	n := 1 + len(placed.Helpers)
-	p.unread = n
-	part := func() *modelPart {
-		return &modelPart{prompt: p, left: placed.PartTime, tokens: p.query.InputTokens / n}
+	p.pendingParts = n
+	part := func() *burstPart {
+		return &burstPart{prompt: p, left: placed.PartTime, tokens: p.query.InputTokens / n}
 	}
-	first := b.named[placed.Server.Instance]
+	first := b.byInstance[placed.Server.Instance]
 	first.parts = append(first.parts, part())
 	for _, h := range placed.Helpers {
 		helping := part()
 		helping.helper = true
-		s := b.named[h.Instance]
+		s := b.byInstance[h.Instance]
 		s.parts = slices.Insert(s.parts, 0, helping)
 	}
 }
 
-// step lets a millisecond pass.
-func (b *burstPlay) step() {
+// step advances the time by a millisecond.
+func (b *burstSim) step() {
 	b.now = b.now.Add(time.Millisecond)
 	for _, s := range b.servers {
-		if b.now.Before(s.free) {
+		if b.now.Before(s.passEnd) {
 			continue
 		}
-		for _, part := range s.pass(b.now) {
-			b.read(part.prompt)
+		for _, part := range s.runPass(b.now) {
+			b.partDone(part.prompt)
 		}
 	}
 }
 
-// read notes that a part was read. With the last one the first token comes, and the
-// play is over for the prompt: it is about reading, and writing is left out.
-func (b *burstPlay) read(p *modelPrompt) {
-	if p.unread--; p.unread == 0 {
-		p.firstAt = b.now
+// partDone records that a part was prefilled. The last part yields the first token and ends
+// the prompt: decoding isn't simulated.
+func (b *burstSim) partDone(p *burstPrompt) {
+	if p.pendingParts--; p.pendingParts == 0 {
+		p.firstTokenAt = b.now
 		p.placed.FirstToken()
 		p.placed.End()
 	}
 }
 
-// earned is the weight of the prompts that were on time, as a share of all.
-func earned(prompts []*modelPrompt) float64 {
+// earnedShare returns the weight of the prompts that were on time, as a fraction of the
+// total weight.
+func earnedShare(prompts []*burstPrompt) float64 {
 	got, all := 0.0, 0.0
 	for _, p := range prompts {
 		weight := WeightOf(p.query.InputTokens)
@@ -148,16 +150,16 @@
 	return got / all
 }
 
-// playBurst plays eight seconds of prompts of 133,000 tokens, four a second, and of
-// 440,000, one in two seconds, on 14 servers, which is 1.05 times the reading that they
-// can do, and returns the prompts when all had time to end.
-func playBurst(seed uint64) []*modelPrompt {
+// simulateBurst simulates eight seconds of load on 14 servers: four prompts of 133,000
+// tokens per second and one of 440,000 every two seconds, which is 1.05 times the prefill
+// that the servers can do. It returns the prompts after all have had time to finish.
+func simulateBurst(seed uint64) []*burstPrompt {
 	const servers, lasts, until = 14, 8 * time.Second, 24 * time.Second
 	random := rand.New(rand.NewPCG(seed, 1))
-	b := newBurstPlay(servers, random)
-	var all []*modelPrompt
+	b := newBurstSim(servers, random)
+	var all []*burstPrompt
 	come := func(tokens int) {
-		p := &modelPrompt{query: review(tokens), came: b.now}
+		p := &burstPrompt{query: review(tokens), arrivedAt: b.now}
 		p.query.TimeLeft = 15 * time.Second
 		all, b.waiting = append(all, p), append(b.waiting, p)
 	}
@@ -169,43 +171,40 @@
 			come(440_000)
 		}
 		if passed%(60*time.Millisecond) == 0 {
-			b.tryWaiting()
+			b.placeWaiting()
 		}
 		b.step()
 	}
 	return all
 }
 
-// Symptom: in a burst of long prompts nearly all of them are late, the common ones with
-// the largest.
-// Sequence: that of playBurst, with 20 seeds.
-// Cause: all were begun as they came and read side by side: callers got 0.67 in time of
-// what they were owed, and 0.71 where the largest wait.
-func TestLargestPromptsWaitInABurst(t *testing.T) {
+// In a burst of long prompts nearly all of them were late, the common ones together with
+// the largest. All started on arrival and were prefilled side by side: callers got 0.67 of
+// the weight on time, and 0.71 when the largest prompts wait. simulateBurst runs with 20
+// seeds.
+func TestLargestPromptsAreDeferredInBurst(t *testing.T) {
 	const seeds, least = 20, 0.70
 	sum := 0.0
 	for seed := range uint64(seeds) {
-		all := playBurst(seed)
-		sum += earned(all)
+		all := simulateBurst(seed)
+		sum += earnedShare(all)
 		for _, p := range all {
-			if p.firstAt.IsZero() {
-				t.Errorf("seed %d: a prompt of %d tokens was not served in its time", seed, p.query.InputTokens)
+			if p.firstTokenAt.IsZero() {
+				t.Errorf("seed %d: a prompt of %d tokens was not served before its deadline", seed, p.query.InputTokens)
 			}
 		}
 	}
-	t.Logf("callers got %.3f of what they were owed in time", sum/seeds)
+	t.Logf("callers got %.3f of the weight on time", sum/seeds)
 	if sum/seeds < least {
-		t.Errorf("callers got %.3f of what they were owed in time, want %.2f", sum/seeds, least)
+		t.Errorf("callers got %.3f of the weight on time, want at least %.2f", sum/seeds, least)
 	}
 }
 
-// Symptom: short streams pause for seconds for one prompt that would hardly have been
-// later by waiting.
-// Sequence: six short streams are written on each of four servers; a prompt of 200,000
-// tokens comes, which stops those of any server that reads it.
-// Cause: what the others lost counted as much as what the prompt gained, though the
-// streams that are stopped keep their slots from those that come meanwhile.
-func TestLongPromptWaitsForManyShortStreams(t *testing.T) {
+// Short streams paused for seconds because of one prompt that would have been hardly later
+// if deferred. Six short streams are decoded on each of four servers, and a prompt of
+// 200,000 tokens stops those of any server that prefills it. The interference had the same
+// weight as the prompt's gain, although stopped streams keep their slots from new requests.
+func TestLongPromptIsDeferredForShortStreams(t *testing.T) {
 	const servers, streamsEach = 4, 6
 	f := newFleet(servers)
 	for i, c := range f.candidates {
@@ -219,6 +218,6 @@
 	q := review(200_000)
 	q.Engine, q.TimeLeft = engine, 15*time.Second
 	if _, answer := f.planner.Place(q, slices.Clone(f.candidates)); answer != Deferred {
-		t.Errorf("answer %d, want the prompt to wait", answer)
+		t.Errorf("decision %d, want Deferred", answer)
 	}
 }
--- a/placement/choice.go
+++ b/placement/choice.go
@@ -2,33 +2,36 @@
 
 import "time"
 
-// choice is one way to serve a query.
+// choice is one possible set of servers for a query.
 type choice struct {
-	first   option
-	helpers []option // in no order, but holders first
-	holders []option // keep the prompt, first among them; empty if first alone does
-	ready   time.Duration
-	harm    float64 // expected loss of the others
-	loss    float64 // and of the query; infinite: not possible
+	primary      serverOption
+	helpers      []serverOption // in no particular order, except that holders come first
+	holders      []serverOption // hold the prompt, primary first; empty if the primary holds all of it
+	firstToken   time.Duration
+	interference float64 // expected loss of the other requests; setLoss weights it
+	loss         float64 // expected loss of all requests, the query included; infinite if impossible
 }
 
-// weigh sets the loss of a choice, with what the query loses by it besides.
-func (c *choice) weigh(own float64) {
-	c.harm *= othersFactor
-	c.loss = c.harm + own
+// setLoss multiplies the interference by interferenceFactor and computes the total loss of
+// the choice. ownLoss is the loss of the query itself.
+func (c *choice) setLoss(ownLoss float64) {
+	c.interference *= interferenceFactor
+	c.loss = c.interference + ownLoss
 }
 
-// waits reports whether a long prompt had better be placed later: now the others,
-// and those that come while its reading keeps servers busy (price), would lose more
-// than it gains by being on time. A prompt of 400,000 tokens stops every writer of its
-// engines for a second or more; in a burst of such prompts those that come last can't
-// be on time, and what they stop could. The longer it has waited, the more it may cost.
-func (c *choice) waits(q Query, price float64) bool {
-	if q.PauseObjective <= shortPause || q.TimeLeft < waitLeft {
+// shouldDefer reports whether a long prompt should be placed later because placing it now
+// would cost other requests more than the prompt gains by being on time. congestion is the
+// cost for requests that arrive while its prefill occupies servers.
+//
+// A prompt of 400,000 tokens stops every stream on its engines for a second or more. In a
+// burst of such prompts the last ones can't be on time, but the streams that they stop
+// could be. The cost that is accepted rises with the time that the prompt has waited.
+func (c *choice) shouldDefer(q Query, congestion float64) bool {
+	if q.PauseObjective <= shortStreamPause || q.TimeLeft < minTimeLeftToDefer {
 		return false
 	}
 	weight := WeightOf(q.InputTokens)
-	gain := q.due().gain(c.ready, weight)
-	waited := float64(q.Waited) / float64(q.Waited+q.TimeLeft)
-	return c.harm+price > gain+weight*LateLoss*(waitFirst+waitSlope*waited)
+	gain := q.timeBudget().value(c.firstToken, weight)
+	waitedShare := float64(q.Waited) / float64(q.Waited+q.TimeLeft)
+	return c.interference+congestion > gain+weight*LateLoss*(deferMargin+deferMarginSlope*waitedShare)
 }
--- a/placement/choice_bench_test.go
+++ b/placement/choice_bench_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// BenchmarkChoice is one choice among servers that each write four streams and read a
-// part, as in a burst. On a machine whose cores were all busy a notice takes 0.22 ms among
-// 135 servers and 2.4 ms among 1,000, a review that is kept on several 2.1 and 11.7 ms.
-// Before, with a map of each server's attempts and all options sorted for each spread:
-// 0.84, 5.3, 10.0 and 70 ms.
+// BenchmarkChoice measures one placement among servers that each decode four streams and
+// prefill a part, as in a burst. On a machine with all cores busy a notice takes 0.22 ms
+// among 135 servers and 2.4 ms among 1,000; a review that several servers hold takes 2.1
+// and 11.7 ms. With a map of attempts per server and a full sort of the options for each
+// spread size it was 0.84, 5.3, 10.0 and 70 ms.
 func BenchmarkChoice(b *testing.B) {
 	for _, servers := range []int{135, 1000} {
 		for name, q := range map[string]Query{"notice": notice(), "review": review(190_000)} {
 			b.Run(fmt.Sprintf("%s/%d", name, servers), func(b *testing.B) {
 				f := newFleet(servers)
-				busy(f)
+				addLoad(f)
 				q.Engine, q.TimeLeft = engine, 15*time.Second
 				b.ReportAllocs()
 				for b.Loop() {
@@ -29,8 +29,8 @@
 	}
 }
 
-// busy has every server write four streams and read a part for another.
-func busy(f *fleet) {
+// addLoad adds four decoding streams to every server, and a part to prefill for another.
+func addLoad(f *fleet) {
 	seq := uint64(0)
 	begin := func(w Attempt) {
 		seq++
--- a/placement/collision.go
+++ b/placement/collision.go
@@ -5,52 +5,54 @@
 	"time"
 )
 
-// The load that this answers: hundreds of short prompts a second at dozens of entries.
-// Each entry knows of the others' choices a little late, and all choose by the same rule,
-// so that those that choose meanwhile take the same server: its last slot twice, or two
-// prompts read in one pass where one was weighed. So a choice is left to chance among
-// servers that are alike but for less than what such collisions cost, and the more
-// prompts others place the more servers count as alike.
+// The constants below handle hundreds of short prompts per second at dozens of entries. An
+// entry learns of the choices of other entries with a delay, and all entries use the same
+// rule. Entries that choose within that delay would therefore pick the same server: two
+// take its last slot, or two prompts are prefilled in a pass for which one was expected.
+// Instead, an entry chooses at random among servers whose costs differ by less than the
+// expected cost of such collisions. The tolerance grows with the rate at which other
+// entries place prompts.
 const (
-	// sightDelay is how long after a choice other entries know of it: two links, the
-	// batch that it waits for and the receiver's turn.
-	sightDelay = 5 * time.Millisecond
-	// collisionPrice is what a choice loses for each other that was made in that time. A
-	// higher one has short prompts stand on more servers, where long ones stop them.
-	collisionPrice = 0.1
-	// collisionMost bounds it: it stays below what a short stream gains by others like it,
-	// or each long prompt would stop some of them.
-	collisionMost = 0.25
-	// arrivalMemory is how fast the rate of choices is forgotten.
-	arrivalMemory = time.Second
+	// propagationDelay is the time until other entries know of a choice: two network links,
+	// the batching delay of the sender and the processing delay of the receiver.
+	propagationDelay = 5 * time.Millisecond
+	// collisionCost is the expected loss for each choice that other entries make within
+	// propagationDelay. A higher value spreads short streams over more servers, where long
+	// prompts stop them.
+	collisionCost = 0.1
+	// maxCollisionCost caps the tolerance. It stays below the benefit of placing short
+	// streams together; otherwise each long prompt would stop some of them.
+	maxCollisionCost = 0.25
+	// choiceRateDecay is the time constant with which the choice rate decays.
+	choiceRateDecay = time.Second
 )
 
-// arrivals is the rate of other entries' choices. Its owner's lock guards it.
-type arrivals struct {
-	sum float64 // of choices, decaying
+// choiceRate is the rate of placements by other entries. The lock of its owner guards it.
+type choiceRate struct {
+	sum float64 // number of choices, decaying
 	at  time.Time
 }
 
-// note counts a choice.
-func (a *arrivals) note(now time.Time) {
+// add counts a choice.
+func (a *choiceRate) add(now time.Time) {
 	a.decay(now)
 	a.sum++
 }
 
-// perSecond returns the rate.
-func (a *arrivals) perSecond(now time.Time) float64 {
+// perSecond returns the current rate.
+func (a *choiceRate) perSecond(now time.Time) float64 {
 	a.decay(now)
-	return a.sum / arrivalMemory.Seconds()
+	return a.sum / choiceRateDecay.Seconds()
 }
 
-func (a *arrivals) decay(now time.Time) {
+func (a *choiceRate) decay(now time.Time) {
 	if passed := now.Sub(a.at); passed > 0 {
-		a.sum *= math.Exp(-float64(passed) / float64(arrivalMemory))
+		a.sum *= math.Exp(-float64(passed) / float64(choiceRateDecay))
 		a.at = now
 	}
 }
 
-// alike returns the difference of cost under which servers count as alike.
-func (a *arrivals) alike(now time.Time) float64 {
-	return min(collisionPrice*a.perSecond(now)*sightDelay.Seconds(), collisionMost)
+// costTolerance returns the cost difference up to which servers count as equal.
+func (a *choiceRate) costTolerance(now time.Time) float64 {
+	return min(collisionCost*a.perSecond(now)*propagationDelay.Seconds(), maxCollisionCost)
 }
--- a/placement/congestion.go
+++ b/placement/congestion.go
@@ -2,43 +2,44 @@
 
 import "time"
 
-// The load that this answers: a burst of long prompts that asks for more reading than
-// all servers have. Reading grows with the square of a prompt: one of 133,000 tokens
-// takes a server 1.9 s and one of 440,000 takes 13 s, which is as long as seven of the
-// former and worth three. If all are begun as they come, all are read side by side and
-// all are late, their memory is taken meanwhile, and further ones find no room. With a
-// price on reading time the largest wait until there is less to read, or until their
-// callers' time runs short.
+// The constants below handle a burst of long prompts that needs more prefill than all
+// servers can do. Prefill time grows with the square of the prompt length: 133,000 tokens
+// take a server 1.9 s and 440,000 tokens take 13 s, as long as seven of the shorter
+// prompts, for a weight of only three. If all prompts start on arrival, they are prefilled
+// side by side and all of them are late. They occupy memory meanwhile, and later prompts
+// find none. With a cost on prefill time the largest prompts wait until the backlog is
+// shorter or their time is nearly over.
 const (
-	// readingWorth is the price of a second of reading where it is scarce: what the
-	// longest of usual prompts gain by it. One of 133,000 tokens gains 10.7 by being on
-	// time and takes 1.9 s.
-	readingWorth = 5.0
-	// scarceFrom and scarceTo bound the reading that waits for each server in the mean
-	// between which its price rises from nothing: below the former a prompt that comes
-	// is on time wherever it goes, at the latter a prompt of 133,000 tokens spread over
-	// four servers waits for as long again as it is read.
-	scarceFrom = 150 * time.Millisecond
-	scarceTo   = 800 * time.Millisecond
-	// backlogMost bounds what one server counts for: a slow one is no sign that
-	// reading is scarce on the others.
-	backlogMost = 3 * time.Second
+	// prefillCostPerSecond is the cost of a second of prefill under full congestion. It is
+	// close to what the longest common prompts gain per second of prefill: a prompt of
+	// 133,000 tokens gains 10.7 by being on time and takes 1.9 s.
+	prefillCostPerSecond = 5.0
+	// backlogRampStart and backlogRampEnd are the mean prefill backlogs per server between
+	// which the cost of prefill rises from zero to prefillCostPerSecond. Below the former a
+	// new prompt is on time on any server. At the latter a prompt of 133,000 tokens that is
+	// spread over four servers waits as long as its own prefill takes.
+	backlogRampStart = 150 * time.Millisecond
+	backlogRampEnd   = 800 * time.Millisecond
+	// maxServerBacklog caps the backlog that one server adds to the mean: a single slow
+	// server doesn't mean that prefill is scarce on the others.
+	maxServerBacklog = 3 * time.Second
 )
 
-// readingPrice is what reading a prompt takes from those that wait or come meanwhile.
-func readingPrice(q Query, options []option, now time.Time) float64 {
+// congestionCost returns the cost of the query's prefill for requests that wait now or
+// arrive meanwhile.
+func congestionCost(q Query, options []serverOption, now time.Time) float64 {
 	var sum time.Duration
 	for i := range options {
-		sum += min(options[i].state.busyFor(now), backlogMost)
+		sum += min(options[i].state.prefillBusyTime(now), maxServerBacklog)
 	}
 	mean := sum / time.Duration(len(options))
-	reading := q.Engine.PrefillTime(q.InputTokens, q.InputTokens)
-	return readingWorth * ramp(mean, scarceFrom, scarceTo) * reading.Seconds()
+	prefill := q.Engine.PrefillTime(q.InputTokens, q.InputTokens)
+	return prefillCostPerSecond * ramp(mean, backlogRampStart, backlogRampEnd) * prefill.Seconds()
 }
 
-// busyFor is how long the server still reads: the pass that goes on, and what waits
-// for the next ones. Call advance before.
-func (s *serverState) busyFor(now time.Time) time.Duration {
+// prefillBusyTime returns how long the server will be busy with prefill: the rest of the
+// current pass and the queued parts. Call advance first.
+func (s *serverState) prefillBusyTime(now time.Time) time.Duration {
 	waiting, _ := s.backlog()
-	return s.stretch(waiting) + max(s.passEnd.Sub(now), 0)
+	return s.expectedTime(waiting) + max(s.passEnd.Sub(now), 0)
 }
--- a/placement/doc.go
+++ b/placement/doc.go
@@ -1,4 +1,4 @@
-// Package placement decides on which engines a prompt runs: the one that answers
-// it, and the helpers that read parts of it. It takes time and knowledge of the
-// engines as arguments and does no I/O.
+// Package placement chooses the engines that run a prompt: the primary server, which
+// answers the request, and helpers, which prefill parts of the prompt. The current time and
+// the state of the engines are arguments; the package does no I/O.
 package placement
--- a/placement/due.go
+++ b/placement/due.go
@@ -3,59 +3,65 @@
 import "time"
 
 const (
-	// firstFrom and firstTo bound the time to the first token, as shares of the
-	// objective, between which it grows from harmless to late: forecasts are off by a
-	// tenth and more.
-	firstFrom, firstTo = 0.7, 1.05
-	// firstPressure prices time to the first token within the objective.
-	firstPressure = 0.2
-	// pressureMost bounds that pressure, in objectives: beyond, later is no worse.
-	pressureMost = 10
-	// endFrom and endTo are the same as firstFrom and firstTo for the end of the caller's
-	// time, past which an answer is worth nothing.
-	endFrom, endTo = 0.8, 1.2
-	// surelyLate is the forecast, as a multiple of what is left, from which on a request
-	// counts as one that can't be served: forecasts of long prompts are off by seconds
-	// either way.
-	surelyLate = 1.5
+	// firstTokenRampStart and firstTokenRampEnd are the times to the first token, as
+	// fractions of the objective, between which the loss rises from none to that of a late
+	// answer. The ramp allows for forecast errors of a tenth and more.
+	firstTokenRampStart, firstTokenRampEnd = 0.7, 1.05
+	// onTimeLatencyCost is the cost, as a fraction of the loss of a late answer, of a time
+	// to the first token equal to the objective. It makes earlier first tokens preferable
+	// within the objective.
+	onTimeLatencyCost = 0.2
+	// maxObjectiveRatio caps the time to the first token, in multiples of the objective, up
+	// to which this cost grows.
+	maxObjectiveRatio = 10
+	// deadlineRampStart and deadlineRampEnd are fractions of the cutoff between which the
+	// rest of the weight is lost. After the cutoff an answer is worth nothing.
+	deadlineRampStart, deadlineRampEnd = 0.8, 1.2
+	// unmeetableFactor is the forecast, as a multiple of the time left, above which a
+	// request counts as impossible to serve in time. Forecasts of long prompts are off by
+	// seconds in either direction.
+	unmeetableFactor = 1.5
 )
 
-// due is what is left of a request's time.
-type due struct {
-	objective time.Duration // until its first token is late; not above zero: it is
-	// end is until its first token comes too late for an answer in the caller's time;
-	// zero: not known.
-	end time.Duration
+// timeBudget is the time that a request has left.
+type timeBudget struct {
+	objective time.Duration // time until the first token is late; 0 or less if it is late already
+	// cutoff is the time until a first token is too late for the answer to be complete by
+	// the caller's deadline; zero if unknown.
+	cutoff time.Duration
 }
 
-// loss is what a first token after so long costs a request of a weight: a part of the
-// weight past the objective, and all of it past the end. Without the latter a prompt that
-// is late already gains as much by any further second as one that may still be on time, and
-// is placed whatever it costs the others, though its answer can't come in time at all.
-func (d due) loss(after time.Duration, weight float64) float64 {
-	return d.late(after, weight) + d.never(after, weight)
+// loss returns the loss of a request of the given weight whose first token arrives after
+// the given time: LateLoss of the weight past the objective, and all of it past the cutoff.
+//
+// Without the cutoff a prompt that is already late gains as much from every further second
+// as one that can still be on time. It would then be placed at any cost to other requests,
+// although its answer can't arrive in time.
+func (d timeBudget) loss(after time.Duration, weight float64) float64 {
+	return d.latenessLoss(after, weight) + d.missedDeadlineLoss(after, weight)
 }
 
-// late is the part of the loss that is lost past the objective, and the price of the time
-// up to it.
-func (d due) late(after time.Duration, weight float64) float64 {
+// latenessLoss returns the loss from missing the objective, plus the cost of latency up to
+// it.
+func (d timeBudget) latenessLoss(after time.Duration, weight float64) float64 {
 	if d.objective <= 0 {
-		// Late in any case: sooner is still better for the caller.
-		return weight * LateLoss * (1 + firstPressure*after.Seconds())
+		// The request is late in any case, but earlier is still better for the caller.
+		return weight * LateLoss * (1 + onTimeLatencyCost*after.Seconds())
 	}
-	pressure := firstPressure * min(float64(after)/float64(d.objective), pressureMost)
-	return weight * LateLoss * (ramp(after, scale(d.objective, firstFrom), scale(d.objective, firstTo)) + pressure)
+	latencyCost := onTimeLatencyCost * min(float64(after)/float64(d.objective), maxObjectiveRatio)
+	return weight * LateLoss * (ramp(after, scale(d.objective, firstTokenRampStart), scale(d.objective, firstTokenRampEnd)) + latencyCost)
 }
 
-// never is the rest of the loss: a late answer is still worth something until the end.
-func (d due) never(after time.Duration, weight float64) float64 {
-	if d.end == 0 {
+// missedDeadlineLoss returns the rest of the loss: a late answer keeps some value until the
+// cutoff.
+func (d timeBudget) missedDeadlineLoss(after time.Duration, weight float64) float64 {
+	if d.cutoff == 0 {
 		return 0
 	}
-	return weight * (1 - LateLoss) * ramp(after, scale(d.end, endFrom), scale(d.end, endTo))
+	return weight * (1 - LateLoss) * ramp(after, scale(d.cutoff, deadlineRampStart), scale(d.cutoff, deadlineRampEnd))
 }
 
-// gain is what a first token after so long is worth to a request beside none at all.
-func (d due) gain(after time.Duration, weight float64) float64 {
+// value returns what a first token after the given time is worth, compared with no answer.
+func (d timeBudget) value(after time.Duration, weight float64) float64 {
 	return max(weight-d.loss(after, weight), 0)
 }
--- a/placement/due_test.go
+++ b/placement/due_test.go
@@ -6,34 +6,30 @@
 	"time"
 )
 
-// Symptom: a prompt whose answer can't come in its caller's time stops every stream of the
-// servers that read it, and its caller gets nothing.
-// Sequence: a first token is forecast after the objective, once within the caller's time
-// and once beyond it.
-// Cause: past the objective the loss rose by one slope, past the caller's end as before it.
-func TestNothingIsLeftToGainPastTheEnd(t *testing.T) {
+// A prompt whose answer could not arrive by its caller's deadline stopped every stream of
+// the servers that prefilled it, and its caller got nothing. Past the objective the loss
+// rose with a constant slope, before the deadline as after it.
+func TestNoValueAfterCutoff(t *testing.T) {
 	const weight = 20.0
-	d := due{objective: 4 * time.Second, end: 15 * time.Second}
-	onTime, late, never := d.gain(time.Second, weight), d.gain(8*time.Second, weight), d.gain(20*time.Second, weight)
-	if onTime <= late || never != 0 {
-		t.Errorf("gains %.2f on time, %.2f late, %.2f never", onTime, late, never)
+	d := timeBudget{objective: 4 * time.Second, cutoff: 15 * time.Second}
+	onTime, late, afterCutoff := d.value(time.Second, weight), d.value(8*time.Second, weight), d.value(20*time.Second, weight)
+	if onTime <= late || afterCutoff != 0 {
+		t.Errorf("values %.2f on time, %.2f late, %.2f after the cutoff", onTime, late, afterCutoff)
 	}
 	if d.loss(20*time.Second, weight)-d.loss(8*time.Second, weight) < weight*(1-LateLoss) {
-		t.Error("an answer that comes too late for its caller costs no more than a late one")
+		t.Error("an answer after the deadline costs no more than a late one")
 	}
-	unknown := due{objective: 4 * time.Second}
-	if unknown.never(time.Hour, weight) != 0 {
-		t.Error("an end that isn't known has passed")
+	unknown := timeBudget{objective: 4 * time.Second}
+	if unknown.missedDeadlineLoss(time.Hour, weight) != 0 {
+		t.Error("a missed deadline costs something although the deadline is unknown")
 	}
 }
 
-// Symptom: four prompts of a burst begin just when their objective has passed, stop some
-// thirty streams each, and none of them is answered in time.
-// Sequence: all servers write short streams; a prompt of 380,000 tokens waits for a quieter
-// moment until it is late.
-// Cause: a late first token counted as lost more with every second up to an hour, so that
-// beginning at once gained more than anything that it cost.
-func TestLatePromptGoesOnWaiting(t *testing.T) {
+// Four prompts of a burst started just after their objective had passed, stopped some
+// thirty streams each, and none was answered in time. All servers decode short streams
+// while a prompt of 380,000 tokens is deferred until it is late. The loss from a late first
+// token rose every second up to an hour, so starting at once gained more than any cost.
+func TestLatePromptIsStillDeferred(t *testing.T) {
 	f := newFleet(3)
 	for range 30 {
 		f.place(t, notice()).FirstToken()
@@ -44,61 +40,59 @@
 		late := q
 		late.FirstTokenObjective, late.TimeLeft, late.Waited = q.FirstTokenObjective-waited, q.TimeLeft-waited, waited
 		if _, answer := f.planner.Place(late, slices.Clone(f.candidates)); answer != Deferred {
-			t.Errorf("answer %d after %v, want that it waits", answer, waited)
+			t.Errorf("decision %d after %v, want Deferred", answer, waited)
 		}
 	}
 }
 
-// Symptom: every request to a plain service is answered with nothing. Sequence: a request
-// with a limit of time is placed on a plain service. Cause: the time to write its answer was
-// asked of an engine that it doesn't have.
-func TestPlainServiceHasNoTimeToWrite(t *testing.T) {
+// Every request to a plain service got no answer: with a deadline the placement asked for
+// the decode time of an engine, which a plain service doesn't have.
+func TestPlainServiceHasNoDecodeTime(t *testing.T) {
 	q := Query{FirstTokenObjective: 200 * time.Millisecond, TimeLeft: 1200 * time.Millisecond}
-	if d := q.due(); d.end != q.TimeLeft {
-		t.Errorf("%v left of %v", d.end, q.TimeLeft)
+	if d := q.timeBudget(); d.cutoff != q.TimeLeft {
+		t.Errorf("cutoff %v, want %v", d.cutoff, q.TimeLeft)
 	}
 }
 
-// Symptom: a prompt of 900,000 tokens is read for 9 s by eight servers, which stops all that
-// they write, and its caller has left before it is read.
-// Sequence: servers that have much to read; a prompt whose forecast is far beyond what its
-// caller has left, and one that has just enough.
-// Cause: whatever waited until little of its time was left was placed then.
-func TestPromptThatCannotBeInTimeIsNotPlaced(t *testing.T) {
+// A prompt of 900,000 tokens was prefilled for 9 s by eight servers, which stopped all
+// their streams, and its caller had left before it was done. The servers have a long
+// backlog; one query has too little time left for its forecast, another has enough. Any
+// deferred prompt was placed once little of its time was left.
+func TestPromptWithUnmeetableDeadlineIsNotPlaced(t *testing.T) {
 	f := newFleet(3)
 	q := review(380_000)
 	q.Engine = engine
-	alone, answer := f.planner.Place(withLeft(q, 15*time.Second), slices.Clone(f.candidates))
+	alone, answer := f.planner.Place(withTimeLeft(q, 15*time.Second), slices.Clone(f.candidates))
 	if answer != Placed {
-		t.Fatalf("answer %d with all of its time left", answer)
+		t.Fatalf("decision %d with all of its time left, want Placed", answer)
 	}
 	alone.End()
-	if p, answer := f.planner.Place(withLeft(q, alone.Forecast/2), slices.Clone(f.candidates)); answer != DeadlineUnmeetable || p.Forecast < alone.Forecast/2 {
-		t.Errorf("answer %d with half of its forecast left, forecast %v", answer, p.Forecast)
+	if p, answer := f.planner.Place(withTimeLeft(q, alone.Forecast/2), slices.Clone(f.candidates)); answer != DeadlineUnmeetable || p.Forecast < alone.Forecast/2 {
+		t.Errorf("decision %d with half of its forecast left, forecast %v", answer, p.Forecast)
 	}
-	if len(f.ledger.works) != 0 {
-		t.Error("a prompt that isn't placed is noted as work")
+	if len(f.ledger.attempts) != 0 {
+		t.Error("a prompt that isn't placed is recorded as an attempt")
 	}
 }
 
-// Symptom: a short prompt is refused at once with free servers, as one that can't be in time.
-// Sequence: its caller has four seconds left, and its answer may hold 3,400 tokens, which
-// take longer to write; it holds a few.
-// Cause: the most that an answer may hold counted as what it holds.
-func TestLongestAnswerRefusesNobody(t *testing.T) {
+// A short prompt was rejected at once as unable to be in time, although servers were free.
+// Its caller has four seconds left, and an answer of the maximum of 3,400 tokens takes
+// longer to decode; the real one has a few. The maximum length was taken for the actual
+// length.
+func TestMaxOutputTokensDoesNotRejectQuery(t *testing.T) {
 	f := newFleet(3)
 	q := notice()
 	q.Engine, q.MaxOutputTokens = engine, 3_400
-	written := engine.writeTime(q.MaxOutputTokens)
-	for _, left := range []time.Duration{written, written / 2, written / 8} {
-		if _, answer := f.planner.Place(withLeft(q, left), slices.Clone(f.candidates)); answer != Placed {
-			t.Errorf("answer %d with %v left", answer, left)
+	decodeTime := engine.decodeTime(q.MaxOutputTokens)
+	for _, left := range []time.Duration{decodeTime, decodeTime / 2, decodeTime / 8} {
+		if _, answer := f.planner.Place(withTimeLeft(q, left), slices.Clone(f.candidates)); answer != Placed {
+			t.Errorf("decision %d with %v left, want Placed", answer, left)
 		}
 	}
 }
 
-// withLeft returns a query with so much of its caller's time left.
-func withLeft(q Query, left time.Duration) Query {
+// withTimeLeft returns the query with the given time left.
+func withTimeLeft(q Query, left time.Duration) Query {
 	q.TimeLeft = left
 	return q
 }
--- a/placement/engine.go
+++ b/placement/engine.go
@@ -5,58 +5,58 @@
 	"time"
 )
 
-// EngineProfile is what operators declare of the engines of a service: how long their
-// steps take and what fits.
+// EngineProfile is the performance profile that operators declare for the engines of a
+// service: step times and capacity.
 type EngineProfile struct {
-	Capacity     int // requests that it runs at a time
+	Capacity     int // maximum number of concurrent requests
 	MemoryTokens int
-	Stride       int // steps of a pass that has writers
-	Chunk        int // prompt tokens that one step reads at most
-	// StepTime is the time of a step, SequenceTime what each writer adds to it,
-	// ContextTime what each 1,000 tokens of a writer's context add.
+	Stride       int // steps in a pass that decodes at least one stream
+	Chunk        int // maximum number of prompt tokens that one step prefills
+	// StepTime is the base time of a step. SequenceTime is added for each decoding stream
+	// and ContextTime for every 1,000 tokens of context of each decoding stream.
 	StepTime, SequenceTime, ContextTime time.Duration
-	PrefillRate                         float64       // prompt tokens
-	PairsTime                           time.Duration // for a million pairs of a token and any earlier one
-	HopTime                             time.Duration // added to a step where a prompt is spread
+	PrefillRate                         float64       // prompt tokens prefilled per second
+	PairsTime                           time.Duration // prefill time for a million pairs of a token and an earlier one
+	HopTime                             time.Duration // added to a step of a spread prompt; 0 if helpers aren't supported
 }
 
-// joins reports whether engines read prompts and keep them for each other: operators
-// then declare what that costs a step.
-func (e *EngineProfile) joins() bool { return e.HopTime > 0 }
+// supportsHelpers reports whether engines can prefill and hold parts of prompts for each
+// other. Operators declare a HopTime only for engines that can.
+func (e *EngineProfile) supportsHelpers() bool { return e.HopTime > 0 }
 
-// million scales PairsTime.
+// million is the number of token pairs that PairsTime refers to.
 const million = 1e6
 
-// PrefillTime returns how long reading a part of a prompt takes on an engine that
-// does nothing else: tokens of it, with share of the pairs of a prompt of whole
-// tokens.
-func (e *EngineProfile) PrefillTime(tokens, whole int) time.Duration {
-	if e == nil || e.PrefillRate <= 0 || whole <= 0 {
+// PrefillTime returns how long an idle engine takes to prefill a part of a prompt. The part
+// has the given number of tokens and a proportional share of the token pairs of a prompt of
+// promptTokens tokens.
+func (e *EngineProfile) PrefillTime(tokens, promptTokens int) time.Duration {
+	if e == nil || e.PrefillRate <= 0 || promptTokens <= 0 {
 		return 0
 	}
 	linear := float64(tokens) / e.PrefillRate * float64(time.Second)
-	pairs := float64(tokens) * float64(whole) / 2 / million * float64(e.PairsTime)
+	pairs := float64(tokens) * float64(promptTokens) / 2 / million * float64(e.PairsTime)
 	return time.Duration(linear + pairs)
 }
 
-// DecodePassTime returns how long the steps of one pass take while writers write with
-// contexts of so many tokens together.
-func (e *EngineProfile) DecodePassTime(writers int, context int) time.Duration {
-	if writers == 0 {
+// DecodePassTime returns the decode time of one pass with the given number of streams,
+// whose contexts have contextTokens tokens in total.
+func (e *EngineProfile) DecodePassTime(streams int, contextTokens int) time.Duration {
+	if streams == 0 {
 		return 0
 	}
-	step := float64(e.StepTime) + float64(writers)*float64(e.SequenceTime) + float64(context)/1000*float64(e.ContextTime)
+	step := float64(e.StepTime) + float64(streams)*float64(e.SequenceTime) + float64(contextTokens)/1000*float64(e.ContextTime)
 	return time.Duration(step * float64(max(1, e.Stride)))
 }
 
-// Chunks returns how many steps read so many tokens.
+// Chunks returns the number of steps that prefill the given number of tokens.
 func (e *EngineProfile) Chunks(tokens int) int {
 	return int(math.Ceil(float64(tokens) / float64(max(1, e.Chunk))))
 }
 
-// writeTime is how long writing so many tokens takes an engine that does nothing else; 0
+// decodeTime returns how long an idle engine takes to decode the given number of tokens; 0
 // for a plain service.
-func (e *EngineProfile) writeTime(tokens int) time.Duration {
+func (e *EngineProfile) decodeTime(tokens int) time.Duration {
 	if e == nil {
 		return 0
 	}
--- a/placement/pace.go
+++ b/placement/pace.go
@@ -7,169 +7,177 @@
 )
 
 const (
-	// paceNormal is the factor up to which a server counts as being on its declared
-	// pace: passes of healthy servers are within a quarter of the model, first tokens
-	// within a third.
-	paceNormal = 1.4
-	// paceBlame is the factor from which a late first token is laid to a server.
-	paceBlame = 1.7
-	// paceMost bounds what is believed of a server's slowness: a whole pass lost to
-	// something else would else keep it idle for long.
-	paceMost = 10.0
-	// paceMemory is how fast a factor is forgotten without news. A server that is
-	// avoided shows nothing, so that it must be tried again.
-	paceMemory = 8 * time.Second
-	// pacePasses is how many passes make a sample: the reading that falls into one
-	// pass is known only roughly, into three well enough.
-	pacePasses = 3
-	// paceSlack is how much later than expected a first token must be to tell of a
-	// slow server: the network and other entries' news take some of it.
-	paceSlack = 60 * time.Millisecond
-	// paceTrust is the longest forecast by which a server is judged: into a longer
-	// wait falls work that wasn't known when it began, most of it in bursts.
-	paceTrust = time.Second
-	// paceShare bounds the servers that count as slow at a time. Where more seem so it
-	// is something else, such as more work than all of them can do, and there is
-	// nowhere better to go.
-	paceShare = 0.35
-	// judgeEvery paces the look at prompts that wait.
-	judgeEvery = 20 * time.Millisecond
+	// maxNormalSlowdown is the factor up to which a server counts as running at its
+	// declared speed. Passes of healthy servers are within a quarter of the model, first
+	// tokens within a third.
+	maxNormalSlowdown = 1.4
+	// lateFirstTokenFactor is the ratio of actual to expected time above which a late first
+	// token is attributed to a server.
+	lateFirstTokenFactor = 1.7
+	// maxSlowdown caps the factor. Otherwise one pass lost for another reason would keep
+	// the server idle for a long time.
+	maxSlowdown = 10.0
+	// slowdownDecay is the time constant with which a factor decays without new
+	// measurements. A server that is avoided yields no measurements, so it must be tried
+	// again.
+	slowdownDecay = 8 * time.Second
+	// passesPerSample is the number of passes in a sample. The prefill that falls into a
+	// single pass is known only roughly; over three passes it is accurate enough.
+	passesPerSample = 3
+	// firstTokenSlack is the minimum delay beyond the expected time before a first token
+	// indicates a slow server. The network and late messages from other entries cause part
+	// of the delay.
+	firstTokenSlack = 60 * time.Millisecond
+	// maxJudgedForecast is the longest forecast from which a server is judged. A longer
+	// wait includes work that wasn't known when the attempt began, most of all in bursts.
+	maxJudgedForecast = time.Second
+	// maxSlowShare is the fraction of servers that may count as slow at the same time. If
+	// more appear slow, the reason is a different one, such as overload of all servers, and
+	// there is no better server to use.
+	maxSlowShare = 0.35
+	// overdueCheckInterval is the minimum time between checks of the attempts that wait for
+	// their first token.
+	overdueCheckInterval = 20 * time.Millisecond
 )
 
-// pace is how many times as long as declared a server takes for everything. Servers
-// get slow without failing; work goes on being placed there, because what is known
-// of their work says that they are free, and every prompt that has a part read there
-// waits for that part. The first tokens of prompts tell it, and the passes that
-// streams show.
-type pace struct {
-	factor  float64 // when last told; 0 stands for 1
-	at      time.Time
-	cleared time.Time // when it last proved to be on its declared pace
+// slowdown is the ratio of a server's actual times to its declared times.
+//
+// A server can become slow without failing. The recorded attempts alone make it look free,
+// so it would keep receiving work, and every prompt with a part there would wait for that
+// part. The factor is estimated from first tokens and from the passes that streams show.
+type slowdown struct {
+	factor    float64 // at updatedAt; 0 means 1
+	updatedAt time.Time
+	resetAt   time.Time // when the server was last seen at its declared speed
 }
 
-// now returns the factor at a time, 1 or more.
-func (p *pace) now(now time.Time) float64 {
-	if p.factor <= 1 {
+// factorAt returns the factor at the given time, which is 1 or more.
+func (s *slowdown) factorAt(now time.Time) float64 {
+	if s.factor <= 1 {
 		return 1
 	}
-	left := math.Exp(-float64(now.Sub(p.at)) / float64(paceMemory))
-	return math.Pow(p.factor, left)
+	left := math.Exp(-float64(now.Sub(s.updatedAt)) / float64(slowdownDecay))
+	return math.Pow(s.factor, left)
 }
 
-// clear notes that the server is on its declared pace.
-func (p *pace) clear(now time.Time) { p.factor, p.at, p.cleared = 1, now, now }
+// reset records that the server runs at its declared speed.
+func (s *slowdown) reset(now time.Time) { s.factor, s.updatedAt, s.resetAt = 1, now, now }
 
-// atMost notes that the server is no slower than that.
-func (p *pace) atMost(bound float64, now time.Time) {
-	if bound <= paceNormal {
-		p.clear(now)
+// lowerTo lowers the factor to bound if it is higher, and resets it if bound is within the
+// normal range.
+func (s *slowdown) lowerTo(bound float64, now time.Time) {
+	if bound <= maxNormalSlowdown {
+		s.reset(now)
 		return
 	}
-	if bound < p.now(now) {
-		p.factor, p.at = bound, now
+	if bound < s.factorAt(now) {
+		s.factor, s.updatedAt = bound, now
 	}
 }
 
-// atLeast notes that the server is no faster than that.
-func (p *pace) atLeast(bound float64, now time.Time) {
-	bound = min(bound, paceMost)
-	if bound > p.now(now) {
-		p.factor, p.at = bound, now
+// raiseTo raises the factor to bound, at most to maxSlowdown, if it is lower.
+func (s *slowdown) raiseTo(bound float64, now time.Time) {
+	bound = min(bound, maxSlowdown)
+	if bound > s.factorAt(now) {
+		s.factor, s.updatedAt = bound, now
 	}
 }
 
-// stretch returns how long the server takes for what is declared to take d.
-func (s *serverState) stretch(d time.Duration) time.Duration {
-	if s.factor <= 1 {
+// expectedTime returns how long the server takes for work with a declared time of d.
+func (s *serverState) expectedTime(d time.Duration) time.Duration {
+	if s.slowdownFactor <= 1 {
 		return d
 	}
-	return scale(d, s.factor)
+	return scale(d, s.slowdownFactor)
 }
 
-// passMark is where a sample of a stream's passes begins.
-type passMark struct {
-	at      time.Time
-	passes  int
-	writing time.Duration // declared, of these passes
-	read    time.Duration // of the server when the mark was set
+// passSample is the start of a sample of a stream's passes.
+type passSample struct {
+	begunAt         time.Time
+	passes          int
+	decodeTime      time.Duration // declared decode time of these passes
+	prefilledBefore time.Duration // the server's prefilled when the sample began
 }
 
-// notePass takes the end of a pass that a stream of the server shows, its events
-// come together.
-func (s *serverState) notePass(m *passMark, e *EngineProfile, now time.Time) {
+// recordPass records the end of a pass, which the events of one stream show: the events of
+// a pass arrive together.
+func (s *serverState) recordPass(m *passSample, e *EngineProfile, now time.Time) {
 	s.advance(e, now)
-	if m.at.IsZero() {
-		*m = passMark{at: now, read: s.read}
+	if m.begunAt.IsZero() {
+		*m = passSample{begunAt: now, prefilledBefore: s.prefilled}
 		return
 	}
-	n, context := s.writers()
-	m.writing += e.DecodePassTime(n, context)
-	if m.passes++; m.passes < pacePasses {
+	n, context := s.decodingStreams()
+	m.decodeTime += e.DecodePassTime(n, context)
+	if m.passes++; m.passes < passesPerSample {
 		return
 	}
-	if declared := m.writing + s.read - m.read; now.Sub(m.at) <= scale(declared, paceNormal) {
-		s.pace.clear(now)
+	if declared := m.decodeTime + s.prefilled - m.prefilledBefore; now.Sub(m.begunAt) <= scale(declared, maxNormalSlowdown) {
+		s.slowdown.reset(now)
 	}
-	*m = passMark{at: now, read: s.read}
+	*m = passSample{begunAt: now, prefilledBefore: s.prefilled}
 }
 
-// judgeWaiting learns from the prompts that should have been read by now.
-func (l *Ledger) judgeWaiting(now time.Time) {
-	if now.Sub(l.judged) < judgeEvery {
+// checkOverdueLocked updates the slowdown of servers from the prompts that should have been
+// prefilled by now.
+func (l *Ledger) checkOverdueLocked(now time.Time) {
+	if now.Sub(l.lastOverdueCheck) < overdueCheckInterval {
 		return
 	}
-	l.judged = now
-	for _, a := range l.reading {
-		if now.After(a.ready.Add(paceSlack)) {
-			l.blame(a, now)
+	l.lastOverdueCheck = now
+	for _, a := range l.prefilling {
+		if now.After(a.expectedReady.Add(firstTokenSlack)) {
+			l.attributeDelayLocked(a, now)
 		}
 	}
 }
 
-// judgeFirst learns from the first token of a work: all its parts are read by then,
-// and none of its servers is slower than that says.
-func (l *Ledger) judgeFirst(a *activeWork, now time.Time) {
-	if l.blame(a, now) {
+// observeFirstTokenLocked updates the slowdown of servers from the first token of an
+// attempt. All parts are prefilled by then, so no server of the attempt is slower than the
+// elapsed time implies.
+func (l *Ledger) observeFirstTokenLocked(a *activeAttempt, now time.Time) {
+	if l.attributeDelayLocked(a, now) {
 		return
 	}
 	for _, p := range a.parts {
-		if expected := p.ready.Sub(a.begun); expected > 0 {
-			p.server.pace.atMost(p.factor*float64(now.Sub(a.begun))/float64(expected), now)
+		if expected := p.expectedReady.Sub(a.begunAt); expected > 0 {
+			p.server.slowdown.lowerTo(p.slowdownFactor*float64(now.Sub(a.begunAt))/float64(expected), now)
 		}
 	}
 }
 
-// blame lays it to a server if a work's first token is late, and reports whether it
-// is. One of its servers is as slow as that says; it is laid to the one that longest
-// didn't prove to be on its pace.
-func (l *Ledger) blame(a *activeWork, now time.Time) bool {
-	took := now.Sub(a.begun)
+// attributeDelayLocked reports whether the first token of an attempt is late, and if so
+// raises the slowdown of one of its servers. At least one of them must be slow. The one
+// that has gone longest without running at its declared speed is chosen. No slowdown is
+// raised while the maximum number of servers count as slow.
+func (l *Ledger) attributeDelayLocked(a *activeAttempt, now time.Time) bool {
+	took := now.Sub(a.begunAt)
 	var suspect *part
 	for _, p := range a.parts {
-		expected := p.ready.Sub(a.begun)
-		if took <= scale(expected, paceBlame) || took < expected+paceSlack || expected > paceTrust {
+		expected := p.expectedReady.Sub(a.begunAt)
+		if took <= scale(expected, lateFirstTokenFactor) || took < expected+firstTokenSlack || expected > maxJudgedForecast {
 			return false
 		}
-		if suspect == nil || p.server.pace.cleared.Before(suspect.server.pace.cleared) {
+		if suspect == nil || p.server.slowdown.resetAt.Before(suspect.server.slowdown.resetAt) {
 			suspect = p
 		}
 	}
 	if suspect == nil {
 		return false
 	}
-	if l.manySlow(now) {
+	if l.slowLimitReachedLocked(now) {
 		return true
 	}
-	if expected := suspect.ready.Sub(a.begun); expected > 0 {
-		suspect.server.pace.atLeast(suspect.factor*float64(took)/float64(expected), now)
+	if expected := suspect.expectedReady.Sub(a.begunAt); expected > 0 {
+		suspect.server.slowdown.raiseTo(suspect.slowdownFactor*float64(took)/float64(expected), now)
 		l.slow[suspect.server] = struct{}{}
 	}
 	return true
 }
 
-// manySlow reports whether as many servers count as slow as may. It forgets those
-// that don't any more.
-func (l *Ledger) manySlow(now time.Time) bool {
-	maps.DeleteFunc(l.slow, func(s *serverState, _ struct{}) bool { return s.pace.now(now) <= paceNormal })
-	return float64(len(l.slow)) >= paceShare*float64(len(l.servers))
+// slowLimitReachedLocked reports whether the maximum number of servers count as slow. It
+// first removes servers that no longer do.
+func (l *Ledger) slowLimitReachedLocked(now time.Time) bool {
+	maps.DeleteFunc(l.slow, func(s *serverState, _ struct{}) bool { return s.slowdown.factorAt(now) <= maxNormalSlowdown })
+	return float64(len(l.slow)) >= maxSlowShare*float64(len(l.servers))
 }
--- a/placement/pace_test.go
+++ b/placement/pace_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// truth is how many times as long as declared each instance really takes.
-type truth map[string]float64
+// actualSlowdowns maps instances to the ratio of their actual to their declared times.
+type actualSlowdowns map[string]float64
 
-// first lets the time pass until a placed prompt is read: when the last of its parts
-// is, on servers that take so long.
-func (f *fleet) first(p Placement, real truth) {
-	a := f.ledger.works[p.work]
+// completePrefill advances the time until all parts of a placed prompt are prefilled by
+// servers with these slowdowns.
+func (f *fleet) completePrefill(p Placement, actual actualSlowdowns) {
+	a := f.ledger.attempts[p.attemptID]
 	took := time.Duration(0)
 	for _, part := range a.parts {
-		expected := float64(part.ready.Sub(a.begun)) / part.factor
+		expected := float64(part.expectedReady.Sub(a.begunAt)) / part.slowdownFactor
 		for _, c := range f.candidates {
 			if f.ledger.servers[ServerKey(c.Instance)] == part.server {
-				took = max(took, time.Duration(expected*max(1, real[c.Instance])))
+				took = max(took, time.Duration(expected*max(1, actual[c.Instance])))
 			}
 		}
 	}
@@ -26,20 +26,19 @@
 	p.FirstToken()
 }
 
-// paceOf is what the ledger takes an instance's factor for.
-func (f *fleet) paceOf(instance string) float64 {
-	return f.ledger.serverLocked(ServerKey(instance)).pace.now(f.now)
+// slowdownOf returns the ledger's slowdown factor of an instance.
+func (f *fleet) slowdownOf(instance string) float64 {
+	return f.ledger.serverLocked(ServerKey(instance)).slowdown.factorAt(f.now)
 }
 
-// Symptom: half of the first tokens are late on a day with little to do.
-// Sequence: one server of eight takes four times as long for everything; it fails
-// nothing, and prompts have a part read there as on any other.
-// Cause: all that was known of a server was the work placed there, by which a slow
-// one is as free as the rest.
-func TestSlowServerIsLeftAlone(t *testing.T) {
+// Half of the first tokens were late under low load. One server of eight takes four times
+// as long for everything without failing, and prompts have parts there as on any other.
+// Only the attempts recorded for a server were considered, so a slow one looked as free as
+// the rest.
+func TestSlowServerIsAvoided(t *testing.T) {
 	f := newFleet(8)
 	const slow = "engine-03"
-	real := truth{slow: 4}
+	actual := actualSlowdowns{slow: 4}
 	const prompts, settled = 40, 20
 	used := 0
 	for i := range prompts {
@@ -47,90 +46,88 @@
 		if i >= settled && slices.Contains(instances(p), slow) {
 			used++
 		}
-		f.first(p, real)
+		f.completePrefill(p, actual)
 		p.End()
 		f.now = f.now.Add(50 * time.Millisecond)
 	}
-	// It is tried again as its pace fades.
+	// It is retried as its slowdown decays.
 	if used > (prompts-settled)/4 {
-		t.Errorf("%d of the last %d prompts had a part read on the slow server", used, prompts-settled)
+		t.Errorf("%d of the last %d prompts had a part on the slow server", used, prompts-settled)
 	}
 	for _, c := range f.candidates {
-		// The first ones may have been suspected, and that fades or is disproved.
-		if c.Instance != slow && f.paceOf(c.Instance) > real[slow]/2 {
-			t.Errorf("%s counts as slow: %.1f", c.Instance, f.paceOf(c.Instance))
+		// Others may have been suspected first; their slowdown decays or is corrected.
+		if c.Instance != slow && f.slowdownOf(c.Instance) > actual[slow]/2 {
+			t.Errorf("%s counts as slow: factor %.1f", c.Instance, f.slowdownOf(c.Instance))
 		}
 	}
 }
 
-// Symptom: a prompt waits for ten seconds, and others join it on the same server.
-// Sequence: the server got slow; the prompt's first token is overdue and not there.
-// Cause: only a first token that had come told of its server.
-func TestOverduePromptTellsOfItsServer(t *testing.T) {
+// A prompt waited for ten seconds, and others were placed on the same server. The server
+// has become slow and the prompt's first token is overdue. Only a first token that had
+// arrived changed a server's slowdown.
+func TestOverduePromptMarksServerSlow(t *testing.T) {
 	f := newFleet(2)
 	p := f.place(t, notice())
 	f.now = f.now.Add(2 * time.Second)
 	other := f.place(t, notice())
 	if other.Server.Instance == p.Server.Instance {
-		t.Errorf("both on %s, where the first waits", p.Server.Instance)
+		t.Errorf("both prompts are on %s, where the first is overdue", p.Server.Instance)
 	}
 }
 
-// Symptom: a server stays idle long after it has recovered. Sequence: it was slow; a
-// stream that is written there shows passes as declared. Cause: only time had it
-// forgotten.
-func TestPassesClearAServer(t *testing.T) {
+// A server stayed idle long after it had recovered, because its slowdown only decayed with
+// time. Here a stream on the slow server shows passes of the declared length.
+func TestNormalPassesResetSlowdown(t *testing.T) {
 	f := newFleet(1)
 	p := f.place(t, notice())
 	f.now = f.now.Add(900 * time.Millisecond)
 	p.FirstToken()
-	if f.paceOf("engine-00") <= paceNormal {
-		t.Fatal("a first token after 0.9 s tells nothing")
+	if f.slowdownOf("engine-00") <= maxNormalSlowdown {
+		t.Fatal("a first token after 0.9 s doesn't mark the server as slow")
 	}
-	for range pacePasses + 1 {
+	for range passesPerSample + 1 {
 		f.now = f.now.Add(engine.DecodePassTime(1, 6_400))
 		p.Event()
 	}
-	if pace := f.paceOf("engine-00"); pace > 1 {
-		t.Errorf("pace %.1f after passes as declared", pace)
+	if factor := f.slowdownOf("engine-00"); factor > 1 {
+		t.Errorf("slowdown %.1f after passes of the declared length", factor)
 	}
 }
 
-// Symptom: in a burst all servers count as slow, and prompts are refused or wait.
-// Sequence: more work comes than all servers can do; every first token is late.
-// Cause: lateness was laid to servers without bound, where there is nothing better.
-func TestFewServersCountAsSlow(t *testing.T) {
+// In a burst all servers counted as slow, and prompts were refused or deferred. More work
+// arrives than all servers can do, so every first token is late. The number of servers that
+// could count as slow was unlimited, although there was no better one.
+func TestSlowServersAreLimited(t *testing.T) {
 	f := newFleet(8)
-	late := truth{}
+	late := actualSlowdowns{}
 	for _, c := range f.candidates {
 		late[c.Instance] = 8
 	}
 	for range 40 {
 		p := f.place(t, notice())
-		f.first(p, late)
+		f.completePrefill(p, late)
 		p.End()
 	}
 	slow := 0
 	for _, c := range f.candidates {
-		if f.paceOf(c.Instance) > paceNormal {
+		if f.slowdownOf(c.Instance) > maxNormalSlowdown {
 			slow++
 		}
 	}
-	if most := 3; slow > most { // the least number over paceShare of eight
+	if most := 3; slow > most { // the smallest count at or above maxSlowShare of eight
 		t.Errorf("%d of 8 servers count as slow, want %d at most", slow, most)
 	}
 }
 
-// Symptom: a server that was slow for a moment is never used again.
-// Sequence: it was avoided, so that nothing could show it recovered.
-// Cause: what is believed of it did not fade.
-func TestPaceFades(t *testing.T) {
-	var p pace
-	p.atLeast(8, start)
-	if got := p.now(start.Add(paceMemory * 4)); got > paceNormal {
-		t.Errorf("pace %.2f after %v without news", got, paceMemory*4)
+// A server that was slow for a moment was never used again. While it was avoided, nothing
+// could show that it had recovered, and its slowdown didn't decay.
+func TestSlowdownDecays(t *testing.T) {
+	var p slowdown
+	p.raiseTo(8, start)
+	if got := p.factorAt(start.Add(slowdownDecay * 4)); got > maxNormalSlowdown {
+		t.Errorf("slowdown %.2f after %v without measurements", got, slowdownDecay*4)
 	}
-	if p.atLeast(100, start); p.now(start) > paceMost {
-		t.Errorf("pace %.1f is believed", p.now(start))
+	if p.raiseTo(100, start); p.factorAt(start) > maxSlowdown {
+		t.Errorf("slowdown %.1f exceeds the maximum", p.factorAt(start))
 	}
 }
--- a/placement/packing_test.go
+++ b/placement/packing_test.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// stream is a notice that a play has placed.
+// stream is a placed notice in a simulation.
 type stream struct {
-	placed Placement
-	first  time.Time // when its first token comes
-	ends   time.Time
-	reads  bool // its first token hasn't come
+	placed       Placement
+	firstTokenAt time.Time // when its first token arrives
+	endsAt       time.Time
+	prefilling   bool // its first token hasn't arrived
 }
 
-// streams are the notices that go on in a play.
+// streams are the active notices in a simulation.
 type streams []*stream
 
-// advance tells the planner of the first tokens and ends until now.
+// advance reports the first tokens and ends up to now to the planner.
 func (s *streams) advance(now time.Time) {
 	var left streams
 	for _, one := range *s {
-		if one.reads && !now.Before(one.first) {
+		if one.prefilling && !now.Before(one.firstTokenAt) {
 			one.placed.FirstToken()
-			one.reads = false
+			one.prefilling = false
 		}
-		if now.Before(one.ends) {
+		if now.Before(one.endsAt) {
 			left = append(left, one)
 			continue
 		}
@@ -34,7 +34,7 @@
 	*s = left
 }
 
-// servers returns how many servers answer the streams.
+// servers returns the number of servers that answer the streams.
 func (s streams) servers() int {
 	on := map[string]bool{}
 	for _, one := range s {
@@ -43,34 +43,32 @@
 	return len(on)
 }
 
-// Symptom: in a burst of short prompts each long prompt makes short streams pause on
-// nearly all servers.
-// Sequence: 50 notices a second for 6 s, each written for 1 to 3 s.
-// Cause: a server half full had a price, so that of two servers with six streams and
-// more the emptier one was taken. 100 streams stood on 9 or 10 of 12 servers with 16
-// slots each.
-func TestShortStreamsLeaveServersToLongPrompts(t *testing.T) {
+// In a burst of short prompts each long prompt paused short streams on nearly all servers.
+// 50 notices per second arrive for 6 s, each decoded for 1 to 3 s. Half-full servers had a
+// cost, so of two servers with six or more streams the emptier one was chosen: 100 streams
+// were on 9 or 10 of 12 servers with 16 slots each.
+func TestShortStreamsArePacked(t *testing.T) {
 	const servers, most = 12, 8
 	for seed := range uint64(30) {
 		f := newFleet(servers)
 		random := rand.New(rand.NewPCG(seed, 0))
-		var going streams
+		var active streams
 		for range 300 {
 			f.now = f.now.Add(time.Second / 50)
-			going.advance(f.now)
+			active.advance(f.now)
 			p := f.place(t, notice())
 			life := time.Second + time.Duration(random.Int64N(int64(2*time.Second)))
-			going = append(going, &stream{placed: p, first: f.now.Add(p.Forecast), ends: f.now.Add(life), reads: true})
+			active = append(active, &stream{placed: p, firstTokenAt: f.now.Add(p.Forecast), endsAt: f.now.Add(life), prefilling: true})
 		}
-		if on := going.servers(); on > most {
-			t.Errorf("seed %d: %d short streams stand on %d of %d servers, want at most %d", seed, len(going), on, servers, most)
+		if on := active.servers(); on > most {
+			t.Errorf("seed %d: %d short streams are on %d of %d servers, want at most %d", seed, len(active), on, servers, most)
 		}
 	}
 }
 
-// Symptom: short prompts wait for a slot though other servers have some.
-// Sequence: all but one of a server's slots are taken, another writes a few streams.
-// Cause: packing without regard to the slots that the next arrivals need.
+// Short prompts waited for a slot although other servers had free ones. All but one of a
+// server's slots are occupied, and another decodes a few streams. Streams were packed
+// without regard to the slots that the next arrivals need.
 func TestLastSlotsStayFree(t *testing.T) {
 	f := newFleet(2)
 	full, other := f.candidates[0], f.candidates[1]
@@ -85,6 +83,6 @@
 	fill(full, uint64(full.Capacity-1))
 	fill(other, 5)
 	if p := f.place(t, notice()); p.Server != other {
-		t.Errorf("placed on %s, of which one slot of %d is free", p.Server.Instance, full.Capacity)
+		t.Errorf("placed on %s, which has one of %d slots free", p.Server.Instance, full.Capacity)
 	}
 }
--- a/placement/passes.go
+++ b/placement/passes.go
@@ -7,53 +7,56 @@
 )
 
 const (
-	// longPart is the reading that counts as long: one such part alone makes a
-	// pass that is too long for a stream with pauses of a quarter second.
-	longPart = 120 * time.Millisecond
-	// longMemory is how fast the share of long reading is forgotten.
-	longMemory = 3 * time.Second
-	// idleSteps is how many steps a pass without writers takes: new work then waits
-	// for a few milliseconds only.
-	idleSteps = 2
-	// confirmTime is how long a part counts as perhaps not read after it should be, unless
-	// its prompt's first token comes. What is placed reaches its servers some 10 ms later,
-	// and later still where memory is set aside first; what is read beside it isn't known to
-	// every entry. So a server is passes behind what the ledger expects, and behind a long
-	// part by up to a second. A new part that comes in that time for another server goes
-	// before what is left of the old one, and so does each that follows while the server is
-	// wanted, so that the old one is read last of all.
-	confirmTime = time.Second
+	// longPartTime is the prefill time from which a part counts as long. One such part
+	// makes a pass too long for a stream whose pauses may last a quarter of a second.
+	longPartTime = 120 * time.Millisecond
+	// longLoadDecay is the time constant with which the long prefill load decays.
+	longLoadDecay = 3 * time.Second
+	// idlePassSteps is the number of steps in a pass that decodes no streams. It is small
+	// so that new work waits only a few milliseconds.
+	idlePassSteps = 2
+	// confirmTimeout is how long a part counts as possibly not prefilled after its expected
+	// time, unless the first token of its prompt arrives.
+	//
+	// An attempt reaches its servers some 10 ms after placement, and later if memory is
+	// reserved first, and not every entry knows all the prefill on a server. A server can
+	// therefore be several passes behind the ledger, or up to a second behind if a long
+	// part is involved. A helper part that arrives in that time precedes the rest of the
+	// old part, and so does every later one as long as the server looks free, so that the
+	// old part is prefilled last.
+	confirmTimeout = time.Second
 )
 
-// part is a prompt, or a part of one, that a server has yet to read.
+// part is a prompt, or a part of one, that a server has yet to prefill.
 type part struct {
-	work   *activeWork
-	helper bool          // read for another server
-	left   time.Duration // as declared
-	tokens int           // of left
-	server *serverState
-	ready  time.Time // when it should be read
-	passed time.Time // when the pass ends that should read the last of it
-	factor float64   // the server's pace that ready was worked out with
+	attempt        *activeAttempt
+	helper         bool          // prefilled for another primary server
+	timeLeft       time.Duration // declared prefill time left
+	tokensLeft     int           // prompt tokens left
+	server         *serverState
+	expectedReady  time.Time // when it should be prefilled
+	finalPassEnd   time.Time // end of the pass that should prefill its last tokens
+	slowdownFactor float64   // slowdown of the server on which expectedReady is based
 }
 
-// cut takes up to so many tokens off the part and returns the declared time to read
-// them.
-func (p *part) cut(tokens int) time.Duration {
-	if tokens >= p.tokens {
-		took := p.left
-		p.left, p.tokens = 0, 0
+// take removes up to the given number of tokens from the part and returns their declared
+// prefill time.
+func (p *part) take(tokens int) time.Duration {
+	if tokens >= p.tokensLeft {
+		took := p.timeLeft
+		p.timeLeft, p.tokensLeft = 0, 0
 		return took
 	}
-	took := time.Duration(float64(p.left) * float64(tokens) / float64(p.tokens))
-	p.left -= took
-	p.tokens -= tokens
+	took := time.Duration(float64(p.timeLeft) * float64(tokens) / float64(p.tokensLeft))
+	p.timeLeft -= took
+	p.tokensLeft -= tokens
 	return took
 }
 
-// writers returns how many streams the server writes, and their contexts together.
-func (s *serverState) writers() (n, context int) {
-	for _, a := range s.works {
+// decodingStreams returns the number of streams that the server decodes and the total
+// length of their contexts in tokens.
+func (s *serverState) decodingStreams() (n, context int) {
+	for _, a := range s.attempts {
 		if a.Decoding {
 			n++
 			context += a.MemoryTokens
@@ -62,62 +65,62 @@
 	return n, context
 }
 
-// writePass is the writing part of a pass. Call advance before.
-func (s *serverState) writePass(e *EngineProfile) time.Duration {
-	n, context := s.writers()
-	return s.stretch(e.DecodePassTime(n, context))
+// decodePassTime returns the time that a pass spends on decoding. Call advance first.
+func (s *serverState) decodePassTime(e *EngineProfile) time.Duration {
+	n, context := s.decodingStreams()
+	return s.expectedTime(e.DecodePassTime(n, context))
 }
 
-// passTokens is how many tokens one pass reads at most.
-func (s *serverState) passTokens(e *EngineProfile, writing time.Duration) int {
-	if writing > 0 {
+// maxPassTokens returns the maximum number of tokens that one pass prefills.
+func (s *serverState) maxPassTokens(e *EngineProfile, decoding time.Duration) int {
+	if decoding > 0 {
 		return max(1, e.Chunk) * max(1, e.Stride)
 	}
-	return max(1, e.Chunk) * idleSteps
+	return max(1, e.Chunk) * idlePassSteps
 }
 
-// advance lets the passes end that should have ended by now, and begins the next
-// ones. Parts that helpers read go before a server's own, and of them the newest
-// goes first: a long part waits for every part that comes after it.
+// advance ends the passes that should have ended by now and starts the next ones. Parts for
+// other servers precede the server's own, and of them the newest is first, so a long part
+// waits for every helper part that arrives after it.
 func (s *serverState) advance(e *EngineProfile, now time.Time) {
-	s.factor = s.pace.now(now)
+	s.slowdownFactor = s.slowdown.factorAt(now)
 	for len(s.queue) > 0 && !now.Before(s.passEnd) {
-		writing := s.writePass(e)
-		length, room := writing, s.passTokens(e, writing)
+		decoding := s.decodePassTime(e)
+		length, room := decoding, s.maxPassTokens(e, decoding)
 		for len(s.queue) > 0 && room > 0 {
 			p := s.queue[0]
-			took := min(room, p.tokens)
-			read := p.cut(took)
-			s.read += read
-			length += s.stretch(read)
-			room -= took
-			if p.tokens > 0 {
+			tokens := min(room, p.tokensLeft)
+			prefill := p.take(tokens)
+			s.prefilled += prefill
+			length += s.expectedTime(prefill)
+			room -= tokens
+			if p.tokensLeft > 0 {
 				break
 			}
 			s.queue = s.queue[1:]
 			s.unconfirmed = append(s.unconfirmed, p)
 		}
 		s.passEnd = s.passEnd.Add(length)
-		s.notePassed()
+		s.setFinalPassEnd()
 	}
-	s.unconfirmed = slices.DeleteFunc(s.unconfirmed, func(p *part) bool { return now.Sub(p.passed) > confirmTime })
+	s.unconfirmed = slices.DeleteFunc(s.unconfirmed, func(p *part) bool { return now.Sub(p.finalPassEnd) > confirmTimeout })
 }
 
-// notePassed notes when the pass ends that reads the last of the newest unconfirmed parts.
-func (s *serverState) notePassed() {
+// setFinalPassEnd sets finalPassEnd of the unconfirmed parts that the newest pass finishes.
+func (s *serverState) setFinalPassEnd() {
 	for _, p := range slices.Backward(s.unconfirmed) {
-		if !p.passed.IsZero() {
+		if !p.finalPassEnd.IsZero() {
 			return
 		}
-		p.passed = s.passEnd
+		p.finalPassEnd = s.passEnd
 	}
 }
 
-// add queues a part. Call advance before.
-func (s *serverState) add(p *part, e *EngineProfile, now time.Time) {
-	s.noteLong(p.left, now)
-	if !now.Before(s.passEnd) { // nothing is being read
-		s.passEnd = now.Add(s.writePass(e) / 2)
+// enqueue queues a part. Call advance first.
+func (s *serverState) enqueue(p *part, e *EngineProfile, now time.Time) {
+	s.recordLongPart(p.timeLeft, now)
+	if !now.Before(s.passEnd) { // no prefill is in progress
+		s.passEnd = now.Add(s.decodePassTime(e) / 2)
 	}
 	if p.helper {
 		s.queue = slices.Insert(s.queue, 0, p)
@@ -126,79 +129,82 @@
 	s.queue = append(s.queue, p)
 }
 
-// drop removes the parts of a work, which is read or has ended.
-func (s *serverState) drop(id AttemptID) {
-	s.queue = slices.DeleteFunc(s.queue, func(p *part) bool { return p.work.ID == id })
-	s.unconfirmed = slices.DeleteFunc(s.unconfirmed, func(p *part) bool { return p.work.ID == id })
+// removeParts removes the parts of an attempt that is prefilled or has ended.
+func (s *serverState) removeParts(id AttemptID) {
+	s.queue = slices.DeleteFunc(s.queue, func(p *part) bool { return p.attempt.ID == id })
+	s.unconfirmed = slices.DeleteFunc(s.unconfirmed, func(p *part) bool { return p.attempt.ID == id })
 }
 
-func (s *serverState) noteLong(part time.Duration, now time.Time) {
-	s.decayLong(now)
-	if part >= longPart {
-		s.longLoad += float64(part) / float64(longMemory)
+func (s *serverState) recordLongPart(part time.Duration, now time.Time) {
+	s.decayLongLoad(now)
+	if part >= longPartTime {
+		s.longPrefillLoad += float64(part) / float64(longLoadDecay)
 	}
 }
 
-func (s *serverState) decayLong(now time.Time) {
-	passed := now.Sub(s.longAt)
+func (s *serverState) decayLongLoad(now time.Time) {
+	passed := now.Sub(s.longLoadUpdated)
 	if passed > 0 {
-		s.longLoad *= math.Exp(-float64(passed) / float64(longMemory))
-		s.longAt = now
+		s.longPrefillLoad *= math.Exp(-float64(passed) / float64(longLoadDecay))
+		s.longLoadUpdated = now
 	}
 }
 
-// forecast is what one more part would do on a server.
+// forecast is the expected effect of one more part on a server.
 type forecast struct {
-	ready  time.Duration // from now until the part is read
-	pass   time.Duration // length of the longest pass until then, a pause for its writers
-	delay  time.Duration // for those whose parts wait to be read
-	behind bool          // it is read after what waits there
+	ready       time.Duration // from now until the part is prefilled
+	longestPass time.Duration // longest pass until then, which is a pause for decoding streams
+	delay       time.Duration // added wait of the queued parts
+	queuedLast  bool          // the part is prefilled after those already queued
 }
 
-// forecast of a part of so much reading. Call advance first.
+// forecast returns the expected effect of a part with the given prefill time and tokens.
+// Call advance first.
 func (s *serverState) forecast(e *EngineProfile, length time.Duration, tokens int, helper bool, now time.Time) forecast {
-	writing := s.writePass(e)
-	wait := writing / 2
+	decoding := s.decodePassTime(e)
+	wait := decoding / 2
 	if now.Before(s.passEnd) {
 		wait = s.passEnd.Sub(now)
 	}
 	backlog, backlogTokens := s.backlog()
-	room := s.passTokens(e, writing)
+	room := s.maxPassTokens(e, decoding)
 	ahead, aheadTokens := backlog, backlogTokens
 	if helper {
 		ahead, aheadTokens = 0, 0
 	}
 	passes := 1 + (aheadTokens+tokens-1)/room
-	// The last pass reads on behind the part as far as it has room.
-	behind := s.fill(backlog-ahead, backlogTokens-aheadTokens, passes*room-aheadTokens-tokens)
-	reading := s.stretch(ahead + length + behind)
-	perPass := reading / time.Duration(passes)
+	// The last pass also prefills parts behind this one, as far as it has room.
+	behind := s.backlogTimeWithin(backlog-ahead, backlogTokens-aheadTokens, passes*room-aheadTokens-tokens)
+	prefill := s.expectedTime(ahead + length + behind)
+	perPass := prefill / time.Duration(passes)
 	if passes > 1 {
-		// Full passes read alike; the first one is the longest by its tokens.
-		perPass = time.Duration(float64(reading) * float64(room) / float64(aheadTokens+tokens))
-		perPass = min(perPass, reading)
+		// Full passes take about the same time. The first one is the longest; its time is
+		// proportional to its tokens.
+		perPass = time.Duration(float64(prefill) * float64(room) / float64(aheadTokens+tokens))
+		perPass = min(perPass, prefill)
 	}
 	return forecast{
-		ready:  wait + time.Duration(passes)*writing + reading,
-		pass:   writing + perPass,
-		delay:  s.stretch(length),
-		behind: !helper,
+		ready:       wait + time.Duration(passes)*decoding + prefill,
+		longestPass: decoding + perPass,
+		delay:       s.expectedTime(length),
+		queuedLast:  !helper,
 	}
 }
 
-// backlog is what waits to be read.
+// backlog returns the declared prefill time and the tokens of all queued parts.
 func (s *serverState) backlog() (time.Duration, int) {
 	var sum time.Duration
 	tokens := 0
 	for _, p := range s.queue {
-		sum += p.left
-		tokens += p.tokens
+		sum += p.timeLeft
+		tokens += p.tokensLeft
 	}
 	return sum, tokens
 }
 
-// fill is how long a pass reads of a backlog in a room of so many tokens.
-func (s *serverState) fill(backlog time.Duration, tokens, room int) time.Duration {
+// backlogTimeWithin returns the prefill time of the part of a backlog that fits into room
+// tokens.
+func (s *serverState) backlogTimeWithin(backlog time.Duration, tokens, room int) time.Duration {
 	if tokens <= 0 || room <= 0 {
 		return 0
 	}
--- a/placement/planner.go
+++ b/placement/planner.go
@@ -9,64 +9,65 @@
 	"time"
 )
 
-// Planner places requests by what they and all others on the servers lose: first
-// tokens that come late and pauses that grow too long. It is safe for concurrent
-// use.
+// Planner places requests so that the expected loss of the request and of the others on the
+// same servers is least. Losses come from late first tokens and long pauses. It is safe for
+// concurrent use.
 type Planner struct {
-	ledger *Ledger
-	owner  uint64
-	seq    atomic.Uint64
-	clock  func() time.Time
-	tell   AttemptPublisher
-	policy Policy
-	// shuffle orders the servers before a choice, so that entries that choose at the
-	// same moment don't all take the first of those that are alike. Tests seed it.
+	ledger    *Ledger
+	owner     uint64
+	seq       atomic.Uint64
+	clock     func() time.Time
+	publisher AttemptPublisher
+	policy    Policy
+	// shuffle randomizes the order of the servers before a choice, so that entries that
+	// choose at the same time don't all pick the first of several equal servers. Tests seed
+	// it.
 	shuffle func(n int, swap func(i, j int))
 }
 
-// AttemptPublisher passes on to other entries what becomes of this entry's attempts. Its
-// methods must not block.
+// AttemptPublisher announces the attempts of this entry to other entries. Its methods must
+// not block.
 type AttemptPublisher interface {
 	Began(w Attempt)
 	FirstToken(id AttemptID)
 	Ended(id AttemptID)
 }
 
-// NewPlanner returns a Planner with policy LeastLoss over a Ledger for the entry's
-// incarnation owner. tell may be nil.
-func NewPlanner(l *Ledger, owner uint64, clock func() time.Time, tell AttemptPublisher) *Planner {
-	return &Planner{ledger: l, owner: owner, clock: clock, tell: tell, policy: LeastLoss, shuffle: rand.Shuffle}
+// NewPlanner returns a Planner with policy LeastLoss that uses the ledger l. owner is the
+// incarnation of this entry. publisher may be nil.
+func NewPlanner(l *Ledger, owner uint64, clock func() time.Time, publisher AttemptPublisher) *Planner {
+	return &Planner{ledger: l, owner: owner, clock: clock, publisher: publisher, policy: LeastLoss, shuffle: rand.Shuffle}
 }
 
-// SetPolicy has the Planner choose by another policy. Call it before the first Place.
+// SetPolicy sets the policy and returns the Planner. Call it before the first Place.
 func (p *Planner) SetPolicy(policy Policy) *Planner {
 	p.policy = policy
 	return p
 }
 
-// option is one server as a choice for a query.
-type option struct {
-	candidate Candidate
-	key       uint64
-	state     *serverState
-	forecast  forecast
-	harm      float64
-	cost      float64 // for an answering server: harm, and its own burdens
+// serverOption is a server under consideration for a query.
+type serverOption struct {
+	candidate    Candidate
+	key          uint64
+	state        *serverState
+	forecast     forecast
+	interference float64
+	cost         float64 // for a primary server: interference plus its other costs
 }
 
-// Decision says what became of a query.
+// Decision is the outcome of Place.
 type Decision uint8
 
-// Answers.
+// The outcomes of Place.
 const (
 	Placed             Decision = iota
-	NoCapacity                  // no candidate, or not enough memory on all of them together
-	Deferred                    // it would cost the others more than it gains; ask again soon
-	DeadlineUnmeetable          // its answer would come after its caller's time; Forecast says when
+	NoCapacity                  // no candidate, or too little free memory on all of them together
+	Deferred                    // the cost for other requests exceeds the gain for now; retry soon
+	DeadlineUnmeetable          // the answer would come after the deadline; Forecast is the time to the first token
 )
 
-// Place chooses the servers of a query and, if it is Placed, notes the attempt in
-// the ledger.
+// Place chooses the servers of a query and, if the decision is Placed, records the attempt
+// in the ledger.
 func (p *Planner) Place(q Query, candidates []Candidate) (Placement, Decision) {
 	if len(candidates) == 0 {
 		return Placement{}, NoCapacity
@@ -74,94 +75,96 @@
 	now := p.clock()
 	p.ledger.mu.Lock()
 	defer p.ledger.mu.Unlock()
-	p.ledger.judgeWaiting(now)
-	options := make([]option, len(candidates))
+	p.ledger.checkOverdueLocked(now)
+	options := make([]serverOption, len(candidates))
 	for i, c := range candidates {
 		key := ServerKey(c.Instance)
-		options[i] = option{candidate: c, key: key, state: p.ledger.serverLocked(key)}
+		options[i] = serverOption{candidate: c, key: key, state: p.ledger.serverLocked(key)}
 	}
 	p.shuffle(len(options), func(i, j int) { options[i], options[j] = options[j], options[i] })
-	if p.policy.plain(q) {
-		return p.place(q, choice{first: pickPlain(options, now)}, now), Placed
+	if p.policy.byRequestCount(q) {
+		return p.commit(q, choice{primary: leastRequests(options, now)}, now), Placed
 	}
-	best := p.best(q, options, p.ledger.others.alike(now), now)
+	best := p.bestChoice(q, options, p.ledger.peerChoices.costTolerance(now), now)
 	switch {
 	case math.IsInf(best.loss, 1):
 		return Placement{}, NoCapacity
-	case q.tooLate(best.ready):
-		return Placement{Forecast: best.ready}, DeadlineUnmeetable
-	case best.waits(q, readingPrice(q, options, now)):
+	case q.missesDeadline(best.firstToken):
+		return Placement{Forecast: best.firstToken}, DeadlineUnmeetable
+	case best.shouldDefer(q, congestionCost(q, options, now)):
 		return Placement{}, Deferred
 	}
-	return p.place(q, best, now), Placed
+	return p.commit(q, best, now), Placed
 }
 
-// best returns the way with the least loss. alike is the difference of cost under which
-// servers count as alike for a prompt that one reads alone.
-func (p *Planner) best(q Query, options []option, alike float64, now time.Time) choice {
+// bestChoice returns the choice with the least loss. tolerance is the cost difference up to
+// which servers count as equal for a prompt that one server prefills alone.
+func (p *Planner) bestChoice(q Query, options []serverOption, tolerance float64, now time.Time) choice {
 	for i := range options {
 		options[i].state.advance(q.Engine, now)
-		options[i].state.decayLong(now)
+		options[i].state.decayLongLoad(now)
 	}
-	if !q.Engine.joins() || fitsOne(q, options) {
-		return pickEngines(q, options, alike, now)
+	if !q.Engine.supportsHelpers() || fitsOneServer(q, options) {
+		return chooseSpread(q, options, tolerance, now)
 	}
-	return pickApart(q, options, now)
+	return chooseHolders(q, options, now)
 }
 
-// pickPlain chooses among servers of a plain service: the least requests.
-func pickPlain(options []option, now time.Time) option {
+// leastRequests returns the server with the fewest requests relative to its capacity, with
+// a cost for recent refusals.
+func leastRequests(options []serverOption, now time.Time) serverOption {
 	for i := range options {
 		s := options[i].state
-		options[i].cost = float64(len(s.works)) / float64(max(1, options[i].candidate.Capacity))
-		options[i].cost += s.refusal(now)
+		options[i].cost = float64(len(s.attempts)) / float64(max(1, options[i].candidate.Capacity))
+		options[i].cost += s.refusalCost(now)
 	}
-	return slices.MinFunc(options, func(a, b option) int { return cmp.Compare(a.cost, b.cost) })
+	return slices.MinFunc(options, func(a, b serverOption) int { return cmp.Compare(a.cost, b.cost) })
 }
 
-// refusal is the price of a refusal that is remembered.
-func (s *serverState) refusal(now time.Time) float64 {
-	return refusedPrice * (1 - ramp(now.Sub(s.refusedAt), 0, refusedMemory))
+// refusalCost returns the cost of the server's last refusal, which decays with time.
+func (s *serverState) refusalCost(now time.Time) float64 {
+	return recentRefusalCost * (1 - ramp(now.Sub(s.refusedAt), 0, refusalDecay))
 }
 
-// memory is what the query keeps at the answering server.
-func (q Query) memory() int { return q.InputTokens + q.MaxOutputTokens }
+// totalTokens returns the memory that the query needs in tokens: the prompt and the longest
+// possible answer.
+func (q Query) totalTokens() int { return q.InputTokens + q.MaxOutputTokens }
 
-// place notes the attempt and tells the other entries.
-func (p *Planner) place(q Query, c choice, now time.Time) Placement {
-	first := c.first
-	w := Attempt{
+// commit records the attempt and announces it to the other entries.
+func (p *Planner) commit(q Query, c choice, now time.Time) Placement {
+	primary := c.primary
+	attempt := Attempt{
 		ID:                 AttemptID{Owner: p.owner, Seq: p.seq.Add(1)},
-		Server:             first.key,
+		Server:             primary.key,
 		PauseObjective:     q.PauseObjective,
 		FirstTokenDeadline: now.Add(q.FirstTokenObjective),
 		Weight:             WeightOf(q.InputTokens),
 	}
-	out := Placement{Server: first.candidate, QueuePriority: q.urgencyLevel(), planner: p, work: w.ID, key: first.key}
+	out := Placement{Server: primary.candidate, QueuePriority: q.queuePriority(), planner: p, attemptID: attempt.ID, key: primary.key}
 	if q.Engine != nil && q.InputTokens > 0 {
 		n := 1 + len(c.helpers)
-		w.PartTokens = q.InputTokens / n
-		w.PartTime = q.Engine.PrefillTime(w.PartTokens, q.InputTokens)
-		w.MemoryTokens = q.memory()
-		out.PartTime = w.PartTime
-		out.Forecast, out.Interference = c.ready, c.harm
+		attempt.PartTokens = q.InputTokens / n
+		attempt.PartTime = q.Engine.PrefillTime(attempt.PartTokens, q.InputTokens)
+		attempt.MemoryTokens = q.totalTokens()
+		out.PartTime = attempt.PartTime
+		out.Forecast, out.Interference = c.firstToken, c.interference
 		for _, h := range c.helpers {
-			w.Helpers = append(w.Helpers, h.key)
+			attempt.Helpers = append(attempt.Helpers, h.key)
 			out.Helpers = append(out.Helpers, h.candidate)
 		}
 	}
 	if len(c.holders) > 0 {
-		w.HolderTokens = q.holderTokens(len(c.holders))
-		w.MemoryTokens = 0
-		out.HolderTokens = w.HolderTokens
+		attempt.HolderTokens = q.holderTokens(len(c.holders))
+		attempt.MemoryTokens = 0
+		out.HolderTokens = attempt.HolderTokens
 		for _, h := range c.holders {
-			w.Holders = append(w.Holders, h.key)
+			attempt.Holders = append(attempt.Holders, h.key)
 			out.Holders = append(out.Holders, h.candidate)
 		}
 	}
-	p.ledger.beginLocked(w, q.Engine, now)
-	if p.tell != nil {
-		p.tell.Began(w)
+	p.ledger.beginLocked(attempt, q.Engine, now)
+	if p.publisher != nil {
+		p.publisher.Began(attempt)
 	}
 	return out
 }
--- a/placement/planner_test.go
+++ b/placement/planner_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// engine is like the engines of our users: a prompt of 133,000 tokens takes 1.9 s.
+// engine is typical of the engines in use: a prompt of 133,000 tokens takes 1.9 s.
 var engine = &EngineProfile{
 	Capacity: 16, MemoryTokens: 232_000, Stride: 43, Chunk: 2048,
 	StepTime: 1020 * time.Microsecond, SequenceTime: 2260 * time.Nanosecond, ContextTime: 4310 * time.Nanosecond,
@@ -18,7 +18,7 @@
 
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// fleet is a planner over some engines at a time that tests move.
+// fleet is a planner for some engines with a clock that tests set.
 type fleet struct {
 	planner    *Planner
 	ledger     *Ledger
@@ -42,7 +42,7 @@
 	q.Engine = engine
 	p, answer := f.planner.Place(q, slices.Clone(f.candidates))
 	if answer != Placed {
-		t.Fatalf("no place for %+v: %d", q, answer)
+		t.Fatalf("query %+v not placed: decision %d", q, answer)
 	}
 	return p
 }
@@ -63,21 +63,20 @@
 	return out
 }
 
-func TestReadTime(t *testing.T) {
+func TestPrefillTime(t *testing.T) {
 	whole := engine.PrefillTime(133_000, 133_000)
 	if whole < 1860*time.Millisecond || whole > 1870*time.Millisecond {
-		t.Errorf("133,000 tokens take %v, want 0.645 s and 1.22 s for the pairs", whole)
+		t.Errorf("133,000 tokens take %v, want 0.645 s plus 1.22 s for the pairs", whole)
 	}
 	if part := engine.PrefillTime(133_000/16, 133_000); part < whole/16-time.Millisecond || part > whole/16+time.Millisecond {
 		t.Errorf("a sixteenth takes %v of %v", part, whole)
 	}
 }
 
-// Symptom: short streams pause for a second whenever a long prompt comes.
-// Sequence: notices are written on two of six engines; a long prompt is placed.
-// Cause: an engine reads up to 88,000 tokens between two strides of its writers, and
-// the prompt was read on all engines alike.
-func TestLongPromptsKeepAwayFromShortStreams(t *testing.T) {
+// Short streams paused for a second whenever a long prompt arrived. Notices are decoded on
+// two of six engines when a long prompt is placed. An engine prefills up to 88,000 tokens
+// between two strides of its streams, and the prompt was spread over all engines alike.
+func TestLongPromptsAvoidShortStreams(t *testing.T) {
 	f := newFleet(6)
 	writing := map[string]bool{}
 	for range 8 {
@@ -92,7 +91,7 @@
 	p := f.place(t, review(133_000))
 	for _, name := range instances(p) {
 		if writing[name] {
-			t.Errorf("%s writes notices and reads %v of the review", name, p.PartTime)
+			t.Errorf("%s decodes notices and prefills %v of the review", name, p.PartTime)
 		}
 	}
 }
@@ -107,10 +106,9 @@
 	}
 }
 
-// Symptom: the largest prompts are never served.
-// Sequence: a prompt is larger than any engine's memory.
-// Cause: it was sent to one engine, which refuses it.
-func TestPromptThatFitsNowhereIsKeptOnSeveral(t *testing.T) {
+// The largest prompts were never served: a prompt larger than any engine's memory was sent
+// to one engine, which refused it.
+func TestPromptTooLargeForOneServerIsSplit(t *testing.T) {
 	f := newFleet(8)
 	p := f.place(t, review(600_000))
 	if len(p.Holders) < 3 || p.Holders[0] != p.Server || p.HolderTokens*len(p.Holders) < 600_700 {
@@ -121,19 +119,19 @@
 	}
 	for _, h := range p.Holders[1:] {
 		if !slices.Contains(p.Helpers, h) {
-			t.Errorf("holder %v does not help", h)
+			t.Errorf("holder %v is not a helper", h)
 		}
 	}
 	f.candidates = f.candidates[:2]
 	if _, answer := f.planner.Place(Query{Engine: engine, InputTokens: 600_000, Stream: true}, f.candidates); answer != NoCapacity {
-		t.Error("two engines have no room for 600,000 tokens")
+		t.Error("two engines without room for 600,000 tokens: want NoCapacity")
 	}
 }
 
-// Symptom: in a burst of long prompts every stream of the fleet pauses for seconds.
-// Sequence: all engines write short streams; a prompt comes that takes 12 s to read.
-// Cause: it was placed at once, though it could not be on time for what it cost.
-func TestHugePromptWaitsForAQuieterMoment(t *testing.T) {
+// In a burst of long prompts every stream of the fleet paused for seconds. All engines
+// decode short streams when a prompt arrives that takes 12 s to prefill. It was placed at
+// once, although it could not be on time at an acceptable cost.
+func TestHugePromptIsDeferredUnderLoad(t *testing.T) {
 	f := newFleet(3)
 	for range 30 {
 		f.place(t, notice()).FirstToken()
@@ -141,21 +139,20 @@
 	q := review(380_000)
 	q.Engine, q.TimeLeft = engine, 15*time.Second
 	if _, answer := f.planner.Place(q, slices.Clone(f.candidates)); answer != Deferred {
-		t.Fatalf("answer %d, want that it waits", answer)
+		t.Fatalf("decision %d, want Deferred", answer)
 	}
-	if len(f.ledger.works) != 30 {
-		t.Error("a prompt that waits is noted as work")
+	if len(f.ledger.attempts) != 30 {
+		t.Error("a deferred prompt is recorded as an attempt")
 	}
 	q.Waited, q.TimeLeft = 11*time.Second, 4*time.Second
 	if _, answer := f.planner.Place(q, slices.Clone(f.candidates)); answer != Placed {
-		t.Errorf("answer %d, but its caller's time runs out", answer)
+		t.Errorf("decision %d shortly before the deadline, want Placed", answer)
 	}
 }
 
-// Symptom: every long prompt is answered with a failure.
-// Sequence: a prompt that fills most of an engine; engines that don't help each other.
-// Cause: helpers were named to engines that know none.
-func TestEnginesThatDoNotJoinGetNoHelpers(t *testing.T) {
+// Every long prompt failed on engines that don't support helpers: a prompt that fills most
+// of an engine was placed with helpers.
+func TestNoHelpersWithoutEngineSupport(t *testing.T) {
 	alone := *engine
 	alone.HopTime = 0
 	f := newFleet(4)
@@ -164,45 +161,44 @@
 		q.Engine = &alone
 		p, answer := f.planner.Place(q, slices.Clone(f.candidates))
 		if answer != Placed || len(p.Helpers)+len(p.Holders) != 0 {
-			t.Errorf("%d tokens: answer %d, %d helpers, %d holders", tokens, answer, len(p.Helpers), len(p.Holders))
+			t.Errorf("%d tokens: decision %d, %d helpers, %d holders", tokens, answer, len(p.Helpers), len(p.Holders))
 		}
 	}
 }
 
-// Symptom: an engine is counted as full though nothing runs there.
-// Sequence: a prompt on several engines ends.
-// Cause: the memory of its holders wasn't given back.
-func TestMemoryIsGivenBack(t *testing.T) {
+// An engine counted as full with nothing running there: the memory of the holders wasn't
+// released when a prompt held by several engines ended.
+func TestHolderMemoryIsReleased(t *testing.T) {
 	f := newFleet(4)
 	p := f.place(t, review(600_000))
 	p.End()
 	for key, s := range f.ledger.servers {
-		if s.memory() != 0 || len(s.queue) != 0 {
-			t.Errorf("server %x keeps %d tokens and %d parts", key, s.memory(), len(s.queue))
+		if s.usedTokens() != 0 || len(s.queue) != 0 {
+			t.Errorf("server %x holds %d tokens and %d parts", key, s.usedTokens(), len(s.queue))
 		}
 	}
 }
 
-// Helpers read the newest part first: a part that is there already waits for the
-// new one, and the new one for nothing.
-func TestForecastFollowsTheOrderOfReading(t *testing.T) {
-	s := &serverState{holds: map[AttemptID]int{}}
-	old := &activeWork{Attempt: Attempt{ID: AttemptID{1, 1}, Weight: 10, FirstTokenDeadline: start.Add(time.Second)}, ready: start.Add(500 * time.Millisecond)}
-	s.add(&part{work: old, helper: true, left: 500 * time.Millisecond, tokens: 40_000}, engine, start)
+// Engines prefill the newest helper part first: a part that is already queued waits for the
+// new one, and the new one waits for nothing.
+func TestForecastFollowsPrefillOrder(t *testing.T) {
+	s := &serverState{heldFor: map[AttemptID]int{}}
+	old := &activeAttempt{Attempt: Attempt{ID: AttemptID{1, 1}, Weight: 10, FirstTokenDeadline: start.Add(time.Second)}, expectedReady: start.Add(500 * time.Millisecond)}
+	s.enqueue(&part{attempt: old, helper: true, timeLeft: 500 * time.Millisecond, tokensLeft: 40_000}, engine, start)
 	helper := s.forecast(engine, 300*time.Millisecond, 20_000, true, start)
 	own := s.forecast(engine, 300*time.Millisecond, 20_000, false, start)
 	if helper.ready >= own.ready {
-		t.Errorf("a helper's part is read after %v, a server's own after %v", helper.ready, own.ready)
+		t.Errorf("a helper part is prefilled after %v, a server's own part after %v", helper.ready, own.ready)
 	}
 	if own.ready < 800*time.Millisecond {
-		t.Errorf("a server's own part is read after %v, before what was there", own.ready)
+		t.Errorf("a server's own part is prefilled after %v, before the queued part", own.ready)
 	}
-	if harm := s.harmWaiting(helper, start); harm <= 0 {
-		t.Error("the delay of the part that waits costs nothing")
+	if loss := s.queueInterference(helper, start); loss <= 0 {
+		t.Error("the delay of the queued part costs nothing")
 	}
 }
 
-func TestPassesEndInTime(t *testing.T) {
+func TestAdvanceFinishesPasses(t *testing.T) {
 	f := newFleet(1)
 	f.place(t, review(133_000))
 	s := f.ledger.servers[ServerKey("engine-00")]
@@ -212,10 +208,9 @@
 	}
 }
 
-// Symptom: an entry's dead peer keeps engines busy for ever.
-// Sequence: peers tell of work; one falls silent, one's news are lost.
-// Cause: only the end of a work took it off the ledger.
-func TestWorkOfOthersIsForgotten(t *testing.T) {
+// The attempts of a dead peer occupied engines forever. One peer becomes silent, and
+// messages of another are lost. Only the end of an attempt removed it from the ledger.
+func TestPeerAttemptsAreRemoved(t *testing.T) {
 	l := NewLedger(func(uint64) *EngineProfile { return engine })
 	for owner := range uint64(2) {
 		for seq := range uint64(3) {
@@ -224,20 +219,20 @@
 	}
 	l.Reconcile(0, []uint64{1}, 0, start.Add(time.Second))
 	l.EndOwner(1)
-	if n := len(l.works); n != 1 {
-		t.Errorf("%d works are left, want 1", n)
+	if n := len(l.attempts); n != 1 {
+		t.Errorf("%d attempts are left, want 1", n)
 	}
-	if m := l.servers[7].memory(); m != 5 {
+	if m := l.servers[7].usedTokens(); m != 5 {
 		t.Errorf("memory %d, want 5", m)
 	}
 	l.Begin(Attempt{ID: AttemptID{0, 9}, Server: 7}, start.Add(2*time.Second))
 	l.Reconcile(0, []uint64{1}, 0, start.Add(time.Second))
-	if l.works[AttemptID{0, 9}] == nil {
-		t.Error("what began after the beat was listed is ended by it")
+	if l.attempts[AttemptID{0, 9}] == nil {
+		t.Error("an attempt that began after the list was made was ended by it")
 	}
 }
 
-// Whatever happens in whatever order, an ended work leaves nothing in the ledger.
+// An attempt that has ended leaves nothing in the ledger, whatever the order of events.
 func TestLedgerEndsEmpty(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := newFleet(rapid.IntRange(1, 8).Draw(rt, "engines"))
@@ -263,30 +258,30 @@
 		for _, p := range open {
 			p.End()
 		}
-		if len(f.ledger.works) != 0 {
-			rt.Fatalf("%d works are left", len(f.ledger.works))
+		if len(f.ledger.attempts) != 0 {
+			rt.Fatalf("%d attempts are left", len(f.ledger.attempts))
 		}
 		for _, s := range f.ledger.servers {
-			if len(s.works)+len(s.holds)+len(s.queue) != 0 {
-				rt.Fatalf("left: %d works, %d holds, %d parts", len(s.works), len(s.holds), len(s.queue))
+			if len(s.attempts)+len(s.heldFor)+len(s.queue) != 0 {
+				rt.Fatalf("left: %d attempts, %d holds, %d parts", len(s.attempts), len(s.heldFor), len(s.queue))
 			}
 		}
 	})
 }
 
-func TestPlainServicesTakeTheLeastBusy(t *testing.T) {
+func TestPlainServiceUsesLeastRequests(t *testing.T) {
 	f := newFleet(3)
 	seen := map[string]int{}
 	for range 6 {
 		p, answer := f.planner.Place(Query{}, slices.Clone(f.candidates))
 		if answer != Placed {
-			t.Fatal("no place")
+			t.Fatal("query not placed")
 		}
 		seen[p.Server.Instance]++
 	}
 	for name, n := range seen {
 		if n != 2 {
-			t.Errorf("%s has %d of 6", name, n)
+			t.Errorf("%s has %d of 6 requests, want 2", name, n)
 		}
 	}
 	p, _ := f.planner.Place(Query{}, slices.Clone(f.candidates))
@@ -295,12 +290,13 @@
 	for range 2 {
 		next, _ := f.planner.Place(Query{}, slices.Clone(f.candidates))
 		if next.Server == p.Server {
-			t.Errorf("%v refused just now and is chosen again", p.Server)
+			t.Errorf("%v was chosen again right after its refusal", p.Server)
 		}
 	}
 }
 
-// BenchmarkPlace: a prompt of 133,000 tokens among 16 busy engines.
+// BenchmarkPlace measures the placement of a prompt of 133,000 tokens among 16 busy
+// engines.
 func BenchmarkPlace(b *testing.B) {
 	f := newFleet(16)
 	for range 100 {
@@ -311,9 +307,9 @@
 	}
 }
 
-// A list of an entry's attempts that was held up on its way, by an entry that passes it on
-// and was frozen, ends attempts that began since.
-func TestLateListEndsNothingNewer(t *testing.T) {
+// A list of an entry's active attempts that was delayed in transit, by a frozen entry that
+// relays it, ended attempts that had begun since.
+func TestDelayedListKeepsNewerAttempts(t *testing.T) {
 	l := NewLedger(func(uint64) *EngineProfile { return nil })
 	for seq := range uint64(4) {
 		l.Begin(Attempt{ID: AttemptID{Owner: 7, Seq: seq + 1}, Server: 1}, start)
@@ -325,6 +321,6 @@
 	}
 	slices.Sort(left)
 	if !slices.Equal(left, []uint64{2, 4}) {
-		t.Errorf("left %v, want the one that is listed and the one that is newer", left)
+		t.Errorf("left %v, want the listed one and the newer one", left)
 	}
 }
--- a/placement/play_test.go
+++ b/placement/play_test.go
@@ -9,104 +9,106 @@
 	"time"
 )
 
-// A play of a whole fleet in virtual time: entries that know of each other's attempts a
-// little late, engines that read and write in passes on an account of their own, and
-// callers. It checks what callers get of the decisions of this package alone, without a
-// network. Left out: memory, failures, and callers that come back.
+// A simulation of a whole fleet in virtual time: entries that learn of each other's
+// attempts with a delay, engines that prefill and decode in passes on a model of their own,
+// and callers. It checks what callers get from the decisions of this package alone, without
+// a network. Memory, failures and callers that retry are not simulated.
 
-// playEvent is something that happens at a time.
-type playEvent struct {
+// simEvent is a scheduled action.
+type simEvent struct {
 	at  time.Time
-	seq int // orders those of the same time
+	seq int // orders events with the same time
 	do  func()
 }
 
-// playEvents is a heap of events by time.
-type playEvents []playEvent
+// simEvents is a heap of events ordered by time.
+type simEvents []simEvent
 
-func (e playEvents) Len() int { return len(e) }
-func (e playEvents) Less(i, j int) bool {
+func (e simEvents) Len() int { return len(e) }
+func (e simEvents) Less(i, j int) bool {
 	return e[i].at.Before(e[j].at) || e[i].at.Equal(e[j].at) && e[i].seq < e[j].seq
 }
-func (e playEvents) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *playEvents) Push(x any)   { *e = append(*e, x.(playEvent)) }
-func (e *playEvents) Pop() any {
+func (e simEvents) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *simEvents) Push(x any)   { *e = append(*e, x.(simEvent)) }
+func (e *simEvents) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
 }
 
-// playFleet is the play.
-type playFleet struct {
+// simFleet is a simulated fleet.
+type simFleet struct {
 	engine  *EngineProfile
 	now     time.Time
 	seq     int
-	events  playEvents
+	events  simEvents
 	random  *rand.Rand
-	entries []*playEntry
-	servers map[string]*playServer
+	entries []*simEntry
+	servers map[string]*simServer
 	options []Candidate
-	callers []*playCaller
-	// transit is from a placement to its parts' arrival, news from an entry to the others.
-	transit, news time.Duration
-	// hidesEnd: entries don't know when a caller's time ends.
-	hidesEnd bool
-}
-
-// playEntry is one entry. It is a Teller that passes on to the others after a while.
-type playEntry struct {
-	fleet   *playFleet
+	callers []*simCaller
+	// dispatchDelay is the time from a placement to the arrival of its parts, and
+	// announceDelay the time from an entry to the others.
+	dispatchDelay, announceDelay time.Duration
+	// hideDeadline hides the callers' deadlines from the entries.
+	hideDeadline bool
+}
+
+// simEntry is a simulated entry. It implements AttemptPublisher and announces attempts to
+// the other entries with a delay.
+type simEntry struct {
+	fleet   *simFleet
 	ledger  *Ledger
 	planner *Planner
 }
 
-// playCaller is one request.
-type playCaller struct {
-	query   Query
-	came    time.Time
-	events  int // that its stream has
-	placed  Placement
-	unread  int // parts
-	firstAt time.Time
-	lastAt  time.Time
-	pause   time.Duration // the longest
-	left    int           // events to be written
-	done    bool
-	gaveUp  bool
-	// admitted: it has one of its server's slots.
+// simCaller is a simulated request.
+type simCaller struct {
+	query        Query
+	arrivedAt    time.Time
+	events       int // number of events in its stream
+	placed       Placement
+	pendingParts int // parts that aren't prefilled
+	firstTokenAt time.Time
+	lastEventAt  time.Time
+	longestPause time.Duration // longest pause so far
+	eventsLeft   int           // events to be decoded
+	done         bool
+	abandoned    bool
+	// admitted means that it occupies one of its server's slots.
 	admitted bool
 }
 
-// playPart is a part on a server.
-type playPart struct {
-	caller *playCaller
+// simPart is a part on a simulated server.
+type simPart struct {
+	caller *simCaller
 	left   time.Duration
 	tokens int
 	helper bool
 }
 
-// playServer is an engine.
-type playServer struct {
-	fleet   *playFleet
-	parts   []*playPart   // those for others first, the newest of them ahead
-	queued  []*playCaller // wait for a slot
-	slots   int           // taken
-	writing []*playCaller
-	running bool // a pass goes on
+// simServer is a simulated engine.
+type simServer struct {
+	fleet    *simFleet
+	parts    []*simPart   // helper parts first, the newest in front
+	queued   []*simCaller // waiting for a slot
+	slots    int          // occupied
+	decoding []*simCaller
+	running  bool // a pass is in progress
 }
 
-func newPlayFleet(e *EngineProfile, seed uint64, entries, servers int) *playFleet {
-	f := &playFleet{
-		engine: e, now: start, random: rand.New(rand.NewPCG(seed, 11)), servers: map[string]*playServer{},
-		transit: 8 * time.Millisecond, news: 3 * time.Millisecond,
+func newSimFleet(e *EngineProfile, seed uint64, entries, servers int) *simFleet {
+	f := &simFleet{
+		engine: e, now: start, random: rand.New(rand.NewPCG(seed, 11)), servers: map[string]*simServer{},
+		dispatchDelay: 8 * time.Millisecond, announceDelay: 3 * time.Millisecond,
 	}
 	for i := range servers {
 		c := Candidate{Instance: fmt.Sprintf("engine-%03d", i), Capacity: e.Capacity}
 		f.options = append(f.options, c)
-		f.servers[c.Instance] = &playServer{fleet: f}
+		f.servers[c.Instance] = &simServer{fleet: f}
 	}
 	for i := range entries {
-		entry := &playEntry{fleet: f, ledger: NewLedger(func(uint64) *EngineProfile { return e })}
+		entry := &simEntry{fleet: f, ledger: NewLedger(func(uint64) *EngineProfile { return e })}
 		entry.planner = NewPlanner(entry.ledger, uint64(i)+1, func() time.Time { return f.now }, entry)
 		entry.planner.shuffle = f.random.Shuffle
 		f.entries = append(f.entries, entry)
@@ -114,24 +116,24 @@
 	return f
 }
 
-// after has something happen later.
-func (f *playFleet) after(d time.Duration, do func()) {
+// schedule runs an action after a delay.
+func (f *simFleet) schedule(d time.Duration, do func()) {
 	f.seq++
-	heap.Push(&f.events, playEvent{at: f.now.Add(d), seq: f.seq, do: do})
+	heap.Push(&f.events, simEvent{at: f.now.Add(d), seq: f.seq, do: do})
 }
 
-// run plays until a time since the start.
-func (f *playFleet) run(until time.Duration) {
+// run processes the events up to a time since the start.
+func (f *simFleet) run(until time.Duration) {
 	for len(f.events) > 0 && f.events[0].at.Sub(start) < until {
-		e := heap.Pop(&f.events).(playEvent)
+		e := heap.Pop(&f.events).(simEvent)
 		f.now = e.at
 		e.do()
 	}
 }
 
-func (e *playEntry) tellOthers(do func(l *Ledger, now time.Time)) {
+func (e *simEntry) announce(do func(l *Ledger, now time.Time)) {
 	f := e.fleet
-	f.after(f.news, func() {
+	f.schedule(f.announceDelay, func() {
 		for _, other := range f.entries {
 			if other != e {
 				do(other.ledger, f.now)
@@ -140,125 +142,126 @@
 	})
 }
 
-// Began implements Teller.
-func (e *playEntry) Began(w Attempt) {
-	e.tellOthers(func(l *Ledger, now time.Time) { l.Begin(w, now) })
+// Began implements AttemptPublisher.
+func (e *simEntry) Began(w Attempt) {
+	e.announce(func(l *Ledger, now time.Time) { l.Begin(w, now) })
 }
 
-// FirstToken implements Teller.
-func (e *playEntry) FirstToken(id AttemptID) {
-	e.tellOthers(func(l *Ledger, now time.Time) { l.FirstToken(id, now) })
+// FirstToken implements AttemptPublisher.
+func (e *simEntry) FirstToken(id AttemptID) {
+	e.announce(func(l *Ledger, now time.Time) { l.FirstToken(id, now) })
 }
 
-// Ended implements Teller.
-func (e *playEntry) Ended(id AttemptID) {
-	e.tellOthers(func(l *Ledger, _ time.Time) { l.End(id) })
+// Ended implements AttemptPublisher.
+func (e *simEntry) Ended(id AttemptID) {
+	e.announce(func(l *Ledger, _ time.Time) { l.End(id) })
 }
 
-// come has a caller come at some entry.
-func (f *playFleet) come(q Query, events int) {
-	c := &playCaller{query: q, came: f.now, events: events, left: events}
+// arrive adds a caller at a random entry.
+func (f *simFleet) arrive(q Query, events int) {
+	c := &simCaller{query: q, arrivedAt: f.now, events: events, eventsLeft: events}
 	f.callers = append(f.callers, c)
-	f.try(f.entries[f.random.IntN(len(f.entries))], c)
+	f.place(f.entries[f.random.IntN(len(f.entries))], c)
 }
 
-// retryPlace is how often a prompt that waits asks for a place again, as the gateway does.
-const retryPlace = 60 * time.Millisecond
+// placeRetryInterval is the interval at which a waiting prompt is retried, as in the
+// gateway.
+const placeRetryInterval = 60 * time.Millisecond
 
-func (f *playFleet) try(e *playEntry, c *playCaller) {
+func (f *simFleet) place(e *simEntry, c *simCaller) {
 	q := c.query
 	q.Engine = f.engine
-	q.Waited = f.now.Sub(c.came)
+	q.Waited = f.now.Sub(c.arrivedAt)
 	q.FirstTokenObjective -= q.Waited
 	left := q.TimeLeft - q.Waited
 	if left <= 0 {
-		c.gaveUp = true
+		c.abandoned = true
 		return
 	}
 	q.TimeLeft = left
-	if f.hidesEnd {
+	if f.hideDeadline {
 		q.TimeLeft = 0
 	}
 	placed, answer := e.planner.Place(q, slices.Clone(f.options))
 	if answer == DeadlineUnmeetable {
-		c.gaveUp = true
+		c.abandoned = true
 		return
 	}
 	if answer != Placed {
-		f.after(retryPlace, func() { f.try(e, c) })
+		f.schedule(placeRetryInterval, func() { f.place(e, c) })
 		return
 	}
 	c.placed = placed
-	f.after(left, func() { f.leave(c) })
+	f.schedule(left, func() { f.abandon(c) })
 	n := 1 + len(placed.Helpers)
-	c.unread = n
-	part := func(helper bool) *playPart {
-		return &playPart{caller: c, left: placed.PartTime, tokens: c.query.InputTokens / n, helper: helper}
+	c.pendingParts = n
+	part := func(helper bool) *simPart {
+		return &simPart{caller: c, left: placed.PartTime, tokens: c.query.InputTokens / n, helper: helper}
 	}
-	f.after(f.transit, func() {
+	f.schedule(f.dispatchDelay, func() {
 		f.servers[placed.Server.Instance].admit(c, part(false))
 		for _, h := range placed.Helpers {
-			f.servers[h.Instance].take(part(true))
+			f.servers[h.Instance].enqueue(part(true))
 		}
 	})
 }
 
-// leave has a caller go at the end of its time if its answer isn't whole. Its parts are
-// dropped, but for what is read in the passes that go on.
-func (f *playFleet) leave(c *playCaller) {
+// abandon removes a caller at its deadline if its answer isn't complete. Its parts are
+// dropped, except for what the passes in progress prefill.
+func (f *simFleet) abandon(c *simCaller) {
 	if c.done {
 		return
 	}
-	c.gaveUp = true
+	c.abandoned = true
 	c.placed.End()
 	for _, s := range f.servers {
-		s.parts = slices.DeleteFunc(s.parts, func(p *playPart) bool { return p.caller == c })
-		s.writing = slices.DeleteFunc(s.writing, func(o *playCaller) bool { return o == c })
-		s.queued = slices.DeleteFunc(s.queued, func(o *playCaller) bool { return o == c })
+		s.parts = slices.DeleteFunc(s.parts, func(p *simPart) bool { return p.caller == c })
+		s.decoding = slices.DeleteFunc(s.decoding, func(o *simCaller) bool { return o == c })
+		s.queued = slices.DeleteFunc(s.queued, func(o *simCaller) bool { return o == c })
 	}
 	if c.admitted {
 		f.servers[c.placed.Server.Instance].freeSlot()
 	}
 }
 
-// admit gives a request a slot, or has it wait for one.
-func (s *playServer) admit(c *playCaller, p *playPart) {
+// admit gives a request a slot, or queues it until one is free.
+func (s *simServer) admit(c *simCaller, p *simPart) {
 	if s.slots >= s.fleet.engine.Capacity {
 		s.queued = append(s.queued, c)
 		return
 	}
 	s.slots++
 	p.caller.admitted = true
-	s.take(p)
+	s.enqueue(p)
 }
 
-// take queues a part as engines do.
-func (s *playServer) take(p *playPart) {
+// enqueue queues a part in the order that engines use.
+func (s *simServer) enqueue(p *simPart) {
 	if p.helper {
 		s.parts = slices.Insert(s.parts, 0, p)
 	} else {
 		s.parts = append(s.parts, p)
 	}
-	s.begin()
+	s.startPass()
 }
 
-// begin begins a pass if there is something to do and none goes on.
-func (s *playServer) begin() {
-	if s.running || len(s.parts)+len(s.writing) == 0 {
+// startPass starts a pass if there is work and no pass is in progress.
+func (s *simServer) startPass() {
+	if s.running || len(s.parts)+len(s.decoding) == 0 {
 		return
 	}
 	s.running = true
 	e := s.fleet.engine
 	context := 0
-	for _, c := range s.writing {
-		context += c.query.memory()
+	for _, c := range s.decoding {
+		context += c.query.totalTokens()
 	}
-	length, room := e.DecodePassTime(len(s.writing), context), e.Chunk*e.Stride
-	if len(s.writing) == 0 {
-		length, room = idleSteps*e.StepTime, e.Chunk*idleSteps
+	length, room := e.DecodePassTime(len(s.decoding), context), e.Chunk*e.Stride
+	if len(s.decoding) == 0 {
+		length, room = idlePassSteps*e.StepTime, e.Chunk*idlePassSteps
 	}
-	writers := slices.Clone(s.writing)
-	var read []*playPart
+	streams := slices.Clone(s.decoding)
+	var prefilled []*simPart
 	for len(s.parts) > 0 && room > 0 {
 		p := s.parts[0]
 		tokens := min(room, p.tokens)
@@ -269,69 +272,71 @@
 		if p.tokens > 0 {
 			break
 		}
-		read = append(read, p)
+		prefilled = append(prefilled, p)
 		s.parts = s.parts[1:]
 	}
-	s.fleet.after(length, func() { s.end(writers, read) })
+	s.fleet.schedule(length, func() { s.finishPass(streams, prefilled) })
 }
 
-// end ends a pass: each writer has an event more, and what was read may begin to write.
-func (s *playServer) end(writers []*playCaller, read []*playPart) {
+// finishPass ends a pass: each stream gets one more event, and prefilled prompts start to
+// decode.
+func (s *simServer) finishPass(streams []*simCaller, prefilled []*simPart) {
 	s.running = false
-	for _, c := range writers {
-		s.event(c)
+	for _, c := range streams {
+		s.deliverEvent(c)
 	}
-	for _, p := range read {
+	for _, p := range prefilled {
 		c := p.caller
-		if c.unread--; c.unread == 0 && !c.gaveUp {
-			c.firstAt = s.fleet.now
+		if c.pendingParts--; c.pendingParts == 0 && !c.abandoned {
+			c.firstTokenAt = s.fleet.now
 			c.placed.FirstToken()
 			first := s.fleet.servers[c.placed.Server.Instance]
-			first.writing = append(first.writing, c)
-			first.event(c)
-			first.begin()
+			first.decoding = append(first.decoding, c)
+			first.deliverEvent(c)
+			first.startPass()
 		}
 	}
-	s.begin()
+	s.startPass()
 }
 
-// event gives a caller the next event of its stream.
-func (s *playServer) event(c *playCaller) {
-	if c.gaveUp {
+// deliverEvent gives a caller the next event of its stream.
+func (s *simServer) deliverEvent(c *simCaller) {
+	if c.abandoned {
 		return
 	}
 	now := s.fleet.now
-	if !c.lastAt.IsZero() {
-		c.pause = max(c.pause, now.Sub(c.lastAt))
+	if !c.lastEventAt.IsZero() {
+		c.longestPause = max(c.longestPause, now.Sub(c.lastEventAt))
 	}
-	c.lastAt = now
+	c.lastEventAt = now
 	c.placed.Event()
-	if c.left--; c.left > 0 {
+	if c.eventsLeft--; c.eventsLeft > 0 {
 		return
 	}
 	c.done = true
 	c.placed.End()
-	s.writing = slices.DeleteFunc(s.writing, func(o *playCaller) bool { return o == c })
+	s.decoding = slices.DeleteFunc(s.decoding, func(o *simCaller) bool { return o == c })
 	s.freeSlot()
 }
 
-// freeSlot gives a slot that is free to the next request that waits for one.
-func (s *playServer) freeSlot() {
+// freeSlot passes a free slot to the next waiting request.
+func (s *simServer) freeSlot() {
 	s.slots--
 	if len(s.queued) > 0 {
 		next := s.queued[0]
 		s.queued = s.queued[1:]
-		s.admit(next, &playPart{caller: next, left: next.placed.PartTime, tokens: next.query.InputTokens / (1 + len(next.placed.Helpers))})
+		s.admit(next, &simPart{caller: next, left: next.placed.PartTime, tokens: next.query.InputTokens / (1 + len(next.placed.Helpers))})
 	}
 }
 
 // onTime reports whether a caller got its first token and all events in time.
-func (c *playCaller) onTime() bool {
-	return c.done && c.firstAt.Sub(c.came) <= c.query.FirstTokenObjective && c.pause <= c.query.PauseObjective
+func (c *simCaller) onTime() bool {
+	return c.done && c.firstTokenAt.Sub(c.arrivedAt) <= c.query.FirstTokenObjective && c.longestPause <= c.query.PauseObjective
 }
 
-// earns is what a caller got of its weight: all of it in time, a part of it later.
-func (c *playCaller) earns() float64 {
+// earnedShare returns the fraction of its weight that a caller got: all of it if on time, a
+// part of it if late.
+func (c *simCaller) earnedShare() float64 {
 	switch {
 	case c.onTime():
 		return 1
@@ -341,82 +346,83 @@
 	return 0
 }
 
-// playResult is what the callers of a kind got.
-type playResult struct {
+// simResult summarizes what a group of callers got.
+type simResult struct {
 	callers, onTime, lateFirst, latePause, unserved int
 	earned, owed                                    float64
-	first                                           []time.Duration
+	firstTokenTimes                                 []time.Duration
 }
 
-// resultOf counts the callers whose prompts have from to under to tokens.
-func resultOf(callers []*playCaller, from, to int) playResult {
-	var r playResult
+// summarize returns the result of the callers whose prompts have at least from and fewer
+// than to tokens.
+func summarize(callers []*simCaller, from, to int) simResult {
+	var r simResult
 	for _, c := range callers {
 		if c.query.InputTokens < from || c.query.InputTokens >= to {
 			continue
 		}
 		r.add(c)
 	}
-	slices.Sort(r.first)
+	slices.Sort(r.firstTokenTimes)
 	return r
 }
 
-func (r *playResult) add(c *playCaller) {
+func (r *simResult) add(c *simCaller) {
 	weight := WeightOf(c.query.InputTokens)
 	r.callers++
 	r.owed += weight
-	r.earned += weight * c.earns()
+	r.earned += weight * c.earnedShare()
 	if !c.done {
 		r.unserved++
 		return
 	}
-	r.first = append(r.first, c.firstAt.Sub(c.came))
+	r.firstTokenTimes = append(r.firstTokenTimes, c.firstTokenAt.Sub(c.arrivedAt))
 	if c.onTime() {
 		r.onTime++
 	}
-	if c.firstAt.Sub(c.came) > c.query.FirstTokenObjective {
+	if c.firstTokenAt.Sub(c.arrivedAt) > c.query.FirstTokenObjective {
 		r.lateFirst++
 	}
-	if c.pause > c.query.PauseObjective {
+	if c.longestPause > c.query.PauseObjective {
 		r.latePause++
 	}
 }
 
-// quantile is the time to the first token that a share of the callers stays under.
-func (r playResult) quantile(share float64) time.Duration {
-	if len(r.first) == 0 {
+// quantile returns the time to the first token at the given quantile of the callers.
+func (r simResult) quantile(share float64) time.Duration {
+	if len(r.firstTokenTimes) == 0 {
 		return 0
 	}
-	return r.first[min(len(r.first)-1, int(share*float64(len(r.first))))]
+	return r.firstTokenTimes[min(len(r.firstTokenTimes)-1, int(share*float64(len(r.firstTokenTimes))))]
 }
 
-// String is a line of a table.
-func (r playResult) String() string {
+// String returns a line of a table.
+func (r simResult) String() string {
 	share := func(n int) float64 { return float64(n) / float64(max(1, r.callers)) }
 	return fmt.Sprintf("%4d callers, earned %.3f, in time %.3f, late first %.3f, late pause %.3f, unserved %.3f, first p50 %v p95 %v",
 		r.callers, r.earned/max(1, r.owed), share(r.onTime), share(r.lateFirst), share(r.latePause), share(r.unserved),
 		r.quantile(0.5).Round(time.Millisecond), r.quantile(0.95).Round(time.Millisecond))
 }
 
-// kindOfPrompt is one kind of request of a play.
-type kindOfPrompt struct {
-	perSecond         float64
-	median, sigma     float64 // of its tokens, log-normal
-	shortest, longest int
-	events            float64 // mean
-	objective, pause  time.Duration
-	patience          time.Duration
+// workload describes one kind of request in a simulation.
+type workload struct {
+	perSecond            float64
+	median, sigma        float64 // of the prompt length in tokens, which is log-normal
+	minTokens, maxTokens int
+	events               float64 // mean number
+	objective, pause     time.Duration
+	timeout              time.Duration
 }
 
-// traffic has callers of a kind come for a while.
-func (f *playFleet) traffic(k kindOfPrompt, begins, lasts time.Duration) {
+// addTraffic schedules the arrivals of a workload for a period.
+func (f *simFleet) addTraffic(k workload, begins, lasts time.Duration) {
 	for at := time.Duration(0); at < lasts; at += time.Duration(f.random.ExpFloat64() / k.perSecond * float64(time.Second)) {
 		tokens := int(math.Exp(math.Log(k.median) + k.sigma*f.random.NormFloat64()))
 		q := Query{
-			InputTokens: min(max(tokens, k.shortest), k.longest), MaxOutputTokens: int(k.events) * f.engine.Stride,
-			FirstTokenObjective: k.objective, PauseObjective: k.pause, TimeLeft: k.patience, Stream: true,
+			InputTokens: min(max(tokens, k.minTokens), k.maxTokens), MaxOutputTokens: int(k.events) * f.engine.Stride,
+			FirstTokenObjective: k.objective, PauseObjective: k.pause, TimeLeft: k.timeout, Stream: true,
 		}
 		events := max(1, int(k.events*(0.4+1.2*f.random.Float64())))
-		f.after(begins+at, func() { f.come(q, events) })
+		f.schedule(begins+at, func() { f.arrive(q, events) })
 	}
 }
--- a/placement/policy.go
+++ b/placement/policy.go
@@ -1,19 +1,21 @@
 package placement
 
-// Policy is how a Planner chooses servers. Policies share the ledger, so that one can
-// be measured against another on the same work.
+// Policy is the rule by which a Planner chooses servers. All policies use the same ledger,
+// so they can be compared on the same load.
 type Policy string
 
-// Policies.
+// The supported policies.
 const (
-	// LeastLoss weighs what a choice costs the request and all others there.
+	// LeastLoss minimizes the expected loss of the request and of all other requests on the
+	// chosen servers.
 	LeastLoss Policy = "least_loss"
-	// LeastRequests takes the server with the least requests for its capacity, and no
-	// helpers: the baseline. A prompt beyond one server's memory finds no room by it.
+	// LeastRequests chooses the server with the fewest requests relative to its capacity
+	// and uses no helpers. It is the baseline. It places a prompt that exceeds the memory of
+	// one server on a single server all the same, which has no room for it.
 	LeastRequests Policy = "least_requests"
 )
 
-// plain reports whether a query is placed by the number of requests alone.
-func (p Policy) plain(q Query) bool {
+// byRequestCount reports whether the query is placed by the number of requests alone.
+func (p Policy) byRequestCount(q Query) bool {
 	return q.Engine == nil || q.InputTokens == 0 || p == LeastRequests
 }
--- a/placement/policy_test.go
+++ b/placement/policy_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// Symptom: a policy is switched and nothing changes, or the baseline spreads prompts.
-// Sequence: servers have different numbers of requests; prompts of any length come.
-// Cause: the choice did not look at the policy.
-func TestLeastRequestsIsTheBaseline(t *testing.T) {
+// Switching the policy had no effect, or the baseline spread prompts, because the choice
+// ignored the policy. Here prompts of 130,000 tokens arrive at servers with different
+// numbers of requests.
+func TestLeastRequestsPolicy(t *testing.T) {
 	f := newFleet(4)
 	f.planner.SetPolicy(LeastRequests)
 	taken := map[string]int{}
--- a/placement/query.go
+++ b/placement/query.go
@@ -5,114 +5,114 @@
 	"time"
 )
 
-// Candidate is a server that may take an attempt.
+// Candidate is a server that may receive an attempt.
 type Candidate struct {
 	Instance string
 	Address  string
 	Zone     string
 	Capacity int
-	Cold     bool // or not known to be warm
+	Cold     bool // cold, or not known to be warm
 }
 
 // Query is a request to be placed.
 type Query struct {
-	Engine              *EngineProfile // nil: a plain service
+	Engine              *EngineProfile // nil for a plain service
 	InputTokens         int
-	MaxOutputTokens     int           // the most that its answer may hold
-	FirstTokenObjective time.Duration // what is left of it
+	MaxOutputTokens     int           // upper bound of the answer's length
+	FirstTokenObjective time.Duration // remaining time until the first token is late
 	PauseObjective      time.Duration
-	TimeLeft            time.Duration // of the caller's time; 0: not known
-	Waited              time.Duration // since it came
-	Priority            int           // of its workspace or route; 0 is first
+	TimeLeft            time.Duration // remaining time of the caller; 0 if unknown
+	Waited              time.Duration // time since the request arrived
+	Priority            int           // priority of its workspace or route; 0 is the highest
 	Stream              bool
 }
 
-// writtenShare is the part of the most that an answer may hold that it holds in the mean.
-const writtenShare = 0.5
+// meanOutputShare is the mean length of an answer as a fraction of its upper bound.
+const meanOutputShare = 0.5
 
-// due is what is left of the query's time. When the first token has come the rest of the
-// answer is still to be written: half of the most that it may hold, without other streams
-// beside it.
-func (q Query) due() due {
+// timeBudget returns the time that the query has left. After the first token the rest of
+// the answer must still be decoded. Its expected length is half of the upper bound, and no
+// other streams are assumed beside it.
+func (q Query) timeBudget() timeBudget {
 	if q.TimeLeft == 0 {
-		return due{objective: q.FirstTokenObjective}
+		return timeBudget{objective: q.FirstTokenObjective}
 	}
-	return due{objective: q.FirstTokenObjective, end: q.TimeLeft - scale(q.Engine.writeTime(q.MaxOutputTokens), writtenShare)}
+	return timeBudget{objective: q.FirstTokenObjective, cutoff: q.TimeLeft - scale(q.Engine.decodeTime(q.MaxOutputTokens), meanOutputShare)}
 }
 
-// tooLate reports whether a first token that is forecast after so long will come after the
-// caller's time, also if the forecast is off. What is written behind it doesn't count: an
-// answer may be a few tokens long.
-func (q Query) tooLate(after time.Duration) bool {
-	return q.TimeLeft > 0 && after > scale(q.TimeLeft, surelyLate)
+// missesDeadline reports whether a first token that is forecast after the given time comes
+// after the caller's deadline, even if the forecast is inaccurate. The time to decode the
+// rest isn't counted, because an answer may have only a few tokens.
+func (q Query) missesDeadline(after time.Duration) bool {
+	return q.TimeLeft > 0 && after > scale(q.TimeLeft, unmeetableFactor)
 }
 
-// Levels of urgency for the engines' own queues, where 0 is first and 9 last. Short
-// streams go before long prompts: they are soon read, and late sooner.
+// Priorities in the queues of the engines, where 0 is the highest and 9 the lowest. Short
+// streams precede long prompts: their prefill is short and they are late sooner.
 const (
-	levelShort = 1
-	levelLong  = 4
-	rankLevels = 3  // levels that the rank of a workspace or a route moves
-	noUrgency  = -1 // nothing is said
+	priorityShort     = 1
+	priorityLong      = 4
+	maxPriorityOffset = 3  // maximum number of levels that a workspace or route priority adds
+	noPriority        = -1 // no priority is sent
 )
 
-// urgencyLevel is the level of the query for the engine's queue.
-func (q Query) urgencyLevel() int {
+// queuePriority returns the priority of the query in the engine's queue.
+func (q Query) queuePriority() int {
 	if q.Engine == nil || q.InputTokens == 0 {
-		return noUrgency
+		return noPriority
 	}
-	level := levelLong
-	if q.PauseObjective > 0 && q.PauseObjective <= shortPause {
-		level = levelShort
+	level := priorityLong
+	if q.PauseObjective > 0 && q.PauseObjective <= shortStreamPause {
+		level = priorityShort
 	}
-	return level + min(max(q.Priority, 0), rankLevels)
+	return level + min(max(q.Priority, 0), maxPriorityOffset)
 }
 
-// Placement is where an attempt runs.
+// Placement is the set of servers chosen for an attempt.
 type Placement struct {
 	Server  Candidate
 	Helpers []Candidate
-	// Holders keep the prompt, HolderTokens each, where no server has room for it
-	// alone; the first of them is Server. The others are among Helpers too.
+	// Holders hold the prompt, HolderTokens tokens each, if no single server has room for
+	// it. The first of them is Server; the others are among Helpers too.
 	Holders       []Candidate
 	HolderTokens  int
-	QueuePriority int // for the engine; negative: not said
-	// What the choice was made on, for the log.
-	PartTime     time.Duration // reading on each server
-	Forecast     time.Duration // until the first token
-	Interference float64       // what the others there were expected to lose
+	QueuePriority int // priority in the engine's queue; negative if none is sent
+	// The estimates behind the choice, for the log.
+	PartTime     time.Duration // prefill time on each server
+	Forecast     time.Duration // time until the first token
+	Interference float64       // expected loss of the other requests, times interferenceFactor
 	planner      *Planner
-	work         AttemptID
+	attemptID    AttemptID
 	key          uint64
 }
 
-// End tells that the attempt is over.
+// End records that the attempt has ended.
 func (p Placement) End() {
-	p.planner.ledger.End(p.work)
-	if p.planner.tell != nil {
-		p.planner.tell.Ended(p.work)
+	p.planner.ledger.End(p.attemptID)
+	if p.planner.publisher != nil {
+		p.planner.publisher.Ended(p.attemptID)
 	}
 }
 
-// FirstToken tells that the prompt is read.
+// FirstToken records that the prompt is prefilled and the first token has arrived.
 func (p Placement) FirstToken() {
-	p.planner.ledger.FirstToken(p.work, p.planner.clock())
-	if p.planner.tell != nil {
-		p.planner.tell.FirstToken(p.work)
+	p.planner.ledger.FirstToken(p.attemptID, p.planner.clock())
+	if p.planner.publisher != nil {
+		p.planner.publisher.FirstToken(p.attemptID)
 	}
 }
 
-// Event tells that an event of the stream came.
-func (p Placement) Event() { p.planner.ledger.Event(p.work, p.key, p.planner.clock()) }
+// Event records that an event of the stream has arrived.
+func (p Placement) Event() { p.planner.ledger.Event(p.attemptID, p.key, p.planner.clock()) }
 
-// Refused tells that the attempt was not taken. atFault is the address or instance
-// of the server that the answering one names; it may be a helper.
+// Refused records that the attempt was refused. atFault is the address or instance of the
+// server that the primary blames in its response; it may be a helper.
 func (p Placement) Refused(atFault string) {
 	p.planner.ledger.Refused(p.keyOf(atFault), p.planner.clock())
 }
 
-// keyOf returns the key of the helper or holder that a name is of, else that of the
-// answering server.
+// keyOf returns the key of the helper or holder with the given address or instance, or the
+// key of the primary server if there is none.
 func (p Placement) keyOf(name string) uint64 {
 	for _, c := range slices.Concat(p.Helpers, p.Holders) {
 		if name == c.Address || name == c.Instance {
@@ -122,7 +122,7 @@
 	return p.key
 }
 
-// HolderRefused tells that the i-th holder had no room.
+// HolderRefused records that the i-th holder had no free memory.
 func (p Placement) HolderRefused(i int) {
 	p.planner.ledger.Refused(ServerKey(p.Holders[i].Instance), p.planner.clock())
 }
--- a/placement/refusal_test.go
+++ b/placement/refusal_test.go
@@ -6,13 +6,11 @@
 	"time"
 )
 
-// Symptom: of prompts that several servers read, half are refused twice within
-// milliseconds while one server is down, though the rest have time.
-// Sequence: a helper crashed; the answering server refuses and names it; the next
-// attempt has the same helper.
-// Cause: the refusal was laid to the server that answered, and helpers were chosen
-// without a look at refusals.
-func TestHelperAtFaultIsLeftOut(t *testing.T) {
+// Half of the prompts that several servers prefill were refused twice within milliseconds
+// while one server was down, although the rest had time. A helper has crashed; the primary
+// refuses the attempt and names it, and the next attempt used the same helper. The refusal
+// was attributed to the primary, and refusals were ignored in the choice of helpers.
+func TestHelperAtFaultIsAvoided(t *testing.T) {
 	f := newFleet(6)
 	p := f.place(t, review(60_000))
 	if len(p.Helpers) == 0 {
@@ -22,23 +20,23 @@
 	p.Refused(down.Address)
 	p.End()
 	for range 20 {
-		f.now = f.now.Add(refusedMemory / 100)
+		f.now = f.now.Add(refusalDecay / 100)
 		next := f.place(t, review(60_000))
 		if slices.Contains(instances(next), down.Instance) {
-			t.Fatalf("%v has the helper that was at fault", instances(next))
+			t.Fatalf("%v includes the helper that was at fault", instances(next))
 		}
 		next.End()
 	}
 }
 
-// Symptom: a server that was down is not used again.
-// Sequence: it refused; time passes. Cause: refusals did not fade.
-func TestRefusalFades(t *testing.T) {
+// A server that had been down was never used again after its refusal, because the cost of a
+// refusal didn't decay.
+func TestRefusalCostDecays(t *testing.T) {
 	f := newFleet(1)
 	p := f.place(t, notice())
 	p.Refused("somebody else")
 	s := f.ledger.servers[p.key]
-	if s.refusal(f.now) != refusedPrice || s.refusal(f.now.Add(refusedMemory+time.Millisecond)) != 0 {
-		t.Errorf("price %v at once, %v later", s.refusal(f.now), s.refusal(f.now.Add(refusedMemory+time.Millisecond)))
+	if s.refusalCost(f.now) != recentRefusalCost || s.refusalCost(f.now.Add(refusalDecay+time.Millisecond)) != 0 {
+		t.Errorf("cost %v at once, %v later", s.refusalCost(f.now), s.refusalCost(f.now.Add(refusalDecay+time.Millisecond)))
 	}
 }
--- a/placement/restart_test.go
+++ b/placement/restart_test.go
@@ -5,12 +5,11 @@
 	"time"
 )
 
-// Symptom: a server that just started again stays idle while others are full, and is
-// then taken for slow.
-// Sequence: a long part waits to be read on a server; it ends and starts again under
-// its name, and forgets the part; the prompt's first token stays out.
-// Cause: the ledger took both lives for one.
-func TestRestartedServerHasNothingToRead(t *testing.T) {
+// A server that had just restarted stayed idle while others were full, and then counted as
+// slow. A long part is queued on a server that restarts under the same name and loses the
+// part, so the prompt's first token never arrives. The ledger didn't distinguish the two
+// processes.
+func TestRestartClearsQueuedPrefill(t *testing.T) {
 	f := newFleet(1)
 	key := ServerKey(f.candidates[0].Instance)
 	f.place(t, review(133_000))
@@ -22,16 +21,16 @@
 		p.End()
 	}
 	f.now = f.now.Add(20 * time.Second)
-	f.place(t, notice()).End() // looks at what is overdue
-	if factor := f.ledger.servers[key].pace.now(f.now); factor > 1 {
+	f.place(t, notice()).End() // checks for overdue attempts
+	if factor := f.ledger.servers[key].slowdown.factorAt(f.now); factor > 1 {
 		t.Errorf("the server counts as %.1f times slower than declared", factor)
 	}
 }
 
-func TestRestartOfAnUnknownServerIsNothing(t *testing.T) {
+func TestRestartOfUnknownServerIsIgnored(t *testing.T) {
 	f := newFleet(1)
 	f.ledger.Restarted(ServerKey("nobody"), f.now)
 	if n := len(f.ledger.servers); n != 0 {
-		t.Errorf("%d servers are known", n)
+		t.Errorf("%d servers are in the ledger, want none", n)
 	}
 }
--- a/placement/spread.go
+++ b/placement/spread.go
@@ -6,59 +6,59 @@
 	"time"
 )
 
-// spreads lists over how many servers a prompt may be read, the answering one
-// included; engines take no more.
-var spreads = []int{1, 2, 3, 4, 6, 8, 12, 16}
+// spreadSizes lists the numbers of servers that may prefill a prompt together, the primary
+// included. Engines support at most 16.
+var spreadSizes = []int{1, 2, 3, 4, 6, 8, 12, 16}
 
-// pickEngines tries all spreads and takes the one with the least loss.
-func pickEngines(q Query, options []option, alike float64, now time.Time) choice {
+// chooseSpread evaluates all spread sizes and returns the choice with the least loss.
+func chooseSpread(q Query, options []serverOption, tolerance float64, now time.Time) choice {
 	whole := q.Engine.PrefillTime(q.InputTokens, q.InputTokens)
 	best := choice{loss: math.Inf(1)}
-	for _, n := range spreads {
-		if n > len(options) || n > 1 && (!q.Engine.joins() || whole/time.Duration(n) < leastPart) {
+	for _, n := range spreadSizes {
+		if n > len(options) || n > 1 && (!q.Engine.supportsHelpers() || whole/time.Duration(n) < minPartTime) {
 			break
 		}
-		if c := pickSpread(q, options, whole/time.Duration(n), n, alike, now); c.loss < best.loss {
+		if c := evaluateSpread(q, options, whole/time.Duration(n), n, tolerance, now); c.loss < best.loss {
 			best = c
 		}
 	}
 	return best
 }
 
-// pickSpread chooses n servers for a prompt of which each reads a part.
-func pickSpread(q Query, options []option, part time.Duration, n int, alike float64, now time.Time) choice {
+// evaluateSpread chooses n servers that each prefill a part of the prompt.
+func evaluateSpread(q Query, options []serverOption, part time.Duration, n int, tolerance float64, now time.Time) choice {
 	weight := WeightOf(q.InputTokens)
 	tokens := q.InputTokens / n
 	if n > 1 {
-		alike = 0 // what they read takes long: each is weighed
+		tolerance = 0 // long parts: compare servers by their exact costs
 	}
-	first := cheapestFirst(q, options, part, tokens, n, alike, now)
-	c := choice{first: first, ready: first.forecast.ready, harm: first.harm}
+	primary := choosePrimary(q, options, part, tokens, n, tolerance, now)
+	c := choice{primary: primary, firstToken: primary.forecast.ready, interference: primary.interference}
 	if n > 1 {
 		for i := range options {
 			o := &options[i]
-			o.look(q, part, tokens, true, now)
-			o.cost = o.harm + o.state.refusal(now) + q.due().loss(o.forecast.ready, weight)/float64(n)
+			o.evaluate(q, part, tokens, true, now)
+			o.cost = o.interference + o.state.refusalCost(now) + q.timeBudget().loss(o.forecast.ready, weight)/float64(n)
 		}
-		c.helpers = cheapest(options, n-1, first.key)
+		c.helpers = cheapest(options, n-1, primary.key)
 	}
 	refusals := 0.0
 	for _, h := range c.helpers {
-		c.ready = max(c.ready, h.forecast.ready)
-		c.harm += h.harm
-		refusals += h.state.refusal(now)
+		c.firstToken = max(c.firstToken, h.forecast.ready)
+		c.interference += h.interference
+		refusals += h.state.refusalCost(now)
 	}
-	c.weigh(refusals + first.burden(q, weight, now) + helperPrice*float64(n-1) + q.due().loss(c.ready, weight))
+	c.setLoss(refusals + primary.answeringCost(q, weight, now) + helperCost*float64(n-1) + q.timeBudget().loss(c.firstToken, weight))
 	return c
 }
 
-// cheapest returns the n options of the least cost but for the server without, the
-// cheapest first. It keeps the few that it returns in order and copies nothing else: a
-// choice sorts all servers for each spread otherwise, which is most of its time.
-func cheapest(options []option, n int, without uint64) []option {
+// cheapest returns the n options with the least cost, except the server excluded, in order
+// of cost. It uses an insertion sort over indexes and copies only the results: sorting all
+// servers for each spread size would take most of the time of a placement.
+func cheapest(options []serverOption, n int, excluded uint64) []serverOption {
 	best := make([]int, 0, n)
 	for i := range options {
-		if options[i].key == without || len(best) == n && options[i].cost >= options[best[n-1]].cost {
+		if options[i].key == excluded || len(best) == n && options[i].cost >= options[best[n-1]].cost {
 			continue
 		}
 		if len(best) == n {
@@ -70,62 +70,63 @@
 		}
 		best = slices.Insert(best, at, i)
 	}
-	out := make([]option, len(best))
+	out := make([]serverOption, len(best))
 	for i, at := range best {
 		out[i] = options[at]
 	}
 	return out
 }
 
-// cheapestFirst chooses the server that answers: by chance among those that cost the
-// least or alike, since options are in no order.
-func cheapestFirst(q Query, options []option, part time.Duration, tokens, n int, alike float64, now time.Time) option {
+// choosePrimary returns the server that answers the request. Options are shuffled, so the
+// first one within tolerance of the least cost is a random choice among them.
+func choosePrimary(q Query, options []serverOption, part time.Duration, tokens, n int, tolerance float64, now time.Time) serverOption {
 	weight := WeightOf(q.InputTokens)
 	for i := range options {
 		o := &options[i]
-		o.look(q, part, tokens, false, now)
+		o.evaluate(q, part, tokens, false, now)
 		o.forecast.ready += o.slotWait()
-		o.cost = o.harm + o.burden(q, weight, now) + q.due().loss(o.forecast.ready, weight)/float64(n)
+		o.cost = o.interference + o.answeringCost(q, weight, now) + q.timeBudget().loss(o.forecast.ready, weight)/float64(n)
 	}
 	least := math.Inf(1)
 	for i := range options {
 		least = min(least, options[i].cost)
 	}
 	for i := range options {
-		if options[i].cost <= least+alike {
+		if options[i].cost <= least+tolerance {
 			return options[i]
 		}
 	}
 	return options[0]
 }
 
-// slotWait is how long a request waits for one of the server's slots.
-func (o *option) slotWait() time.Duration {
+// slotWait returns how long a request waits for a free slot on the server.
+func (o *serverOption) slotWait() time.Duration {
 	slots := max(1, o.candidate.Capacity)
-	before := len(o.state.works) - slots + 1
+	before := len(o.state.attempts) - slots + 1
 	if before <= 0 {
 		return 0
 	}
-	return slotTime * time.Duration(before) / time.Duration(slots)
+	return meanSlotTime * time.Duration(before) / time.Duration(slots)
 }
 
-// burden is what answering the query there costs it beside the reading.
-func (o *option) burden(q Query, weight float64, now time.Time) float64 {
+// answeringCost returns the cost for the query of having this server as its primary, apart
+// from prefill.
+func (o *serverOption) answeringCost(q Query, weight float64, now time.Time) float64 {
 	s := o.state
-	total := s.refusal(now)
-	if s.memory()+q.memory() > q.Engine.MemoryTokens {
-		total += fullPrice * weight
+	total := s.refusalCost(now)
+	if s.usedTokens()+q.totalTokens() > q.Engine.MemoryTokens {
+		total += noMemoryCost * weight
 	}
-	crowd := float64(len(s.works)) / float64(max(1, o.candidate.Capacity))
-	total += crowdPrice * math.Pow(crowd, crowdPower)
+	occupancy := float64(len(s.attempts)) / float64(max(1, o.candidate.Capacity))
+	total += occupancyCost * math.Pow(occupancy, occupancyExponent)
 	if o.candidate.Cold {
-		total += coldPrice * weight
+		total += coldServerCost * weight
 	}
-	if q.PauseObjective > 0 && q.PauseObjective <= shortPause {
-		total += longPrice * s.longLoad
-		total -= companyGain * float64(min(s.company(), companyEnough)) / companyEnough
+	if q.PauseObjective > 0 && q.PauseObjective <= shortStreamPause {
+		total += longPrefillCost * s.longPrefillLoad
+		total -= colocationBonus * float64(min(s.shortStreams(), fullBonusStreams)) / fullBonusStreams
 	} else {
-		total += companyGain * float64(min(s.company(), companyEnough)) / companyEnough
+		total += colocationBonus * float64(min(s.shortStreams(), fullBonusStreams)) / fullBonusStreams
 	}
 	return total
 }
--- a/placement/work.go
+++ b/placement/work.go
@@ -4,45 +4,46 @@
 	"time"
 )
 
-// AttemptID names one attempt across entries.
+// AttemptID identifies an attempt across all entries.
 type AttemptID struct {
-	Owner uint64 // incarnation of the entry that sent it
-	Seq   uint64 // of that entry
+	Owner uint64 // incarnation of the entry that made the attempt
+	Seq   uint64 // sequence number within that entry
 }
 
-// Attempt is one attempt on one or more servers, as entries tell each other of it.
+// Attempt is one attempt on one or more servers, in the form that entries exchange.
 type Attempt struct {
 	ID      AttemptID
-	Server  uint64   // ServerKey of the server that answers
-	Helpers []uint64 // ServerKey of those that read parts
-	// PartTime is how long each of them reads, and PartTokens how much.
+	Server  uint64   // ServerKey of the primary server
+	Helpers []uint64 // ServerKeys of the servers that prefill parts
+	// PartTime is the prefill time of each server's part, and PartTokens the length of the
+	// part.
 	PartTime     time.Duration
 	PartTokens   int
-	MemoryTokens int // tokens kept at Server until the attempt ends
-	// Holders keep parts of a prompt that Server has no room for, HolderMemory
-	// tokens each, until the attempt ends.
+	MemoryTokens int // tokens held on Server until the attempt ends
+	// Holders hold the prompt if Server has no room for all of it, each HolderTokens tokens
+	// until the attempt ends. Server is one of them.
 	Holders            []uint64
 	HolderTokens       int
-	PauseObjective     time.Duration // longest pause between events on time; 0: no stream
-	FirstTokenDeadline time.Time     // when the first token is still on time
-	Weight             float64       // what being on time is worth, beside other work
-	Decoding           bool          // the first token has come
+	PauseObjective     time.Duration // longest pause between events that counts as on time; 0 if not streamed
+	FirstTokenDeadline time.Time     // latest time at which the first token is on time
+	Weight             float64       // value of being on time, relative to other attempts
+	Decoding           bool          // the first token has arrived
 }
 
-// weightTokens is the prompt that is worth as much as the fixed part of a request.
-// With it a notice of 5,000 tokens weighs 1.5 and a review of 133,000 weighs 14,
-// near what their owners give for them.
-const weightTokens = 10_000
+// tokensPerWeight is the prompt length that adds 1 to the fixed weight 1 of a request. With
+// this value a notice of 5,000 tokens weighs 1.5 and a review of 133,000 tokens weighs 14,
+// which is close to what their owners pay for them.
+const tokensPerWeight = 10_000
 
-// WeightOf estimates what being on time is worth from the size of a prompt, since
-// operators declare no worth.
-func WeightOf(tokens int) float64 { return 1 + float64(tokens)/weightTokens }
+// WeightOf estimates the value of an on-time answer from the length of the prompt, because
+// operators declare no value.
+func WeightOf(tokens int) float64 { return 1 + float64(tokens)/tokensPerWeight }
 
-// LateLoss is the part of the weight that is lost by being late: late answers earn
-// about a quarter.
+// LateLoss is the fraction of the weight that is lost if an answer is late: late answers
+// earn about a quarter.
 const LateLoss = 0.75
 
-// ramp rises from 0 at from to 1 at to.
+// ramp rises linearly from 0 at x = from to 1 at x = to.
 func ramp(x, from, to time.Duration) float64 {
 	if x <= from {
 		return 0
