--- a/reservation/held.go
+++ b/reservation/held.go
@@ -11,34 +11,35 @@
 	"github.com/briarturn/briarturn/internal/sleep"
 )
 
-// Reservation is memory on several engines. Release it.
+// Reservation is memory reserved on several engines for one prompt. The caller must call
+// Release.
 type Reservation struct {
-	Parts    []Part
-	reserver *Reserver
-	stop     context.CancelFunc
-	log      logrus.FieldLogger
-	since    time.Time
-	used     atomic.Bool // a prompt has begun to use it
-	first    sync.Once   // token of the prompt
+	Parts      []Part
+	reserver   *Reserver
+	stop       context.CancelFunc
+	log        logrus.FieldLogger
+	reservedAt time.Time
+	used       atomic.Bool // a prompt has begun to use the memory
+	firstToken sync.Once   // runs the work of FirstToken once
 
-	unused    context.Context // ends when no prompt has begun in time
-	sayUnused context.CancelFunc
+	unused     context.Context // ends if no prompt has begun to use the memory in time
+	markUnused context.CancelFunc
 }
 
-// hold keeps what was reserved until Release.
-func (r *Reserver) hold(ctx context.Context, request string, parts []Part) *Reservation {
-	keeping, stop := context.WithCancel(ctx)
-	h := &Reservation{Parts: parts, reserver: r, stop: stop, since: time.Now()}
-	h.unused, h.sayUnused = context.WithCancel(ctx)
-	h.log = r.log.WithFields(logrus.Fields{"request": request, "reservations": names(parts)})
-	h.log.WithField("tokens_each", parts[0].Tokens).Info("memory reserved")
-	r.pending.Go(func() { h.keep(keeping) })
-	r.pending.Go(func() { h.watchUse(keeping) })
-	return h
+// newReservation keeps the reserved parts until Release.
+func (r *Reserver) newReservation(ctx context.Context, request string, parts []Part) *Reservation {
+	renewCtx, stop := context.WithCancel(ctx)
+	res := &Reservation{Parts: parts, reserver: r, stop: stop, reservedAt: time.Now()}
+	res.unused, res.markUnused = context.WithCancel(ctx)
+	res.log = r.log.WithFields(logrus.Fields{"request": request, "reservations": partNames(parts)})
+	res.log.WithField("tokens_each", parts[0].Tokens).Info("memory reserved")
+	r.pending.Go(func() { res.run(renewCtx) })
+	r.pending.Go(func() { res.watchUsage(renewCtx) })
+	return res
 }
 
-// names lists reservations for the log.
-func names(parts []Part) []string {
+// partNames returns the names of reservations for the log.
+func partNames(parts []Part) []string {
 	out := make([]string, len(parts))
 	for i, p := range parts {
 		out[i] = p.Engine.Address + "/" + p.ID
@@ -46,50 +47,50 @@
 	return out
 }
 
-// keep renews the parts until ctx ends, then releases them. One goroutine does
-// both: a renewal that overtakes the release would set the memory aside once more.
-func (h *Reservation) keep(ctx context.Context) {
-	h.renew(ctx)
-	for _, p := range h.Parts {
-		h.reserver.pending.Go(func() { h.reserver.release(p) })
+// run renews the parts until ctx ends and then releases them. One goroutine does both: a
+// renewal that arrived after the release would reserve the memory again.
+func (r *Reservation) run(ctx context.Context) {
+	r.renewUntilDone(ctx)
+	for _, p := range r.Parts {
+		r.reserver.pending.Go(func() { r.reserver.release(p) })
 	}
-	used := h.used.Load()
+	used := r.used.Load()
 	if !used {
-		h.reserver.tally.neverUsed.Inc(1)
+		r.reserver.metrics.neverUsed.Inc(1)
 	}
-	h.log.WithFields(logrus.Fields{"held_ms": time.Since(h.since).Milliseconds(), "used": used}).Info("memory released")
+	r.log.WithFields(logrus.Fields{"held_ms": time.Since(r.reservedAt).Milliseconds(), "used": used}).Info("memory released")
 }
 
-// renew renews the parts until ctx ends. A part that can't be renewed runs out, and
-// the engine then cuts the request, which shows as a broken stream.
-func (h *Reservation) renew(ctx context.Context) {
-	for sleep.For(ctx, renewEvery) {
-		// Side by side: engines that don't answer would else take longer, one after the
-		// other, than the leases of the others last.
+// renewUntilDone renews the parts until ctx ends. The lease of a part that can't be renewed
+// expires, and the engine then cancels the request, which appears as a broken stream.
+func (r *Reservation) renewUntilDone(ctx context.Context) {
+	for sleep.For(ctx, renewInterval) {
+		// Renewed concurrently: one after the other, calls to engines that don't respond
+		// would take longer than the leases on the others last.
 		var all sync.WaitGroup
-		for i := range h.Parts {
-			all.Go(func() { h.renewPart(ctx, &h.Parts[i]) })
+		for i := range r.Parts {
+			all.Go(func() { r.renewPart(ctx, &r.Parts[i]) })
 		}
 		all.Wait()
 	}
 }
 
-func (h *Reservation) renewPart(ctx context.Context, p *Part) {
-	err := h.reserver.order(ctx, func(ctx context.Context) error { return h.reserver.reserve(ctx, p) })
+func (r *Reservation) renewPart(ctx context.Context, p *Part) {
+	err := r.reserver.call(ctx, func(ctx context.Context) error { return r.reserver.reserve(ctx, p) })
 	if err != nil && ctx.Err() == nil {
-		h.log.WithError(err).WithFields(logrus.Fields{"server": p.Engine.Address, "reservation": p.ID}).
+		r.log.WithError(err).WithFields(logrus.Fields{"server": p.Engine.Address, "reservation": p.ID}).
 			Warn("reservation not renewed")
 	}
 }
 
-// FirstToken notes that the prompt uses the memory: its first token has come.
-func (h *Reservation) FirstToken() {
-	h.first.Do(func() {
-		h.used.Store(true)
-		h.reserver.tally.firstUse.Update(time.Since(h.since).Milliseconds())
+// FirstToken records that the first token of the prompt has arrived, so the memory is in
+// use.
+func (r *Reservation) FirstToken() {
+	r.firstToken.Do(func() {
+		r.used.Store(true)
+		r.reserver.metrics.firstUse.Update(time.Since(r.reservedAt).Milliseconds())
 	})
 }
 
-// Release ends the reservations, in the background. It may be called more than
-// once.
-func (h *Reservation) Release() { h.stop() }
+// Release ends the reservation in the background. It may be called more than once.
+func (r *Reservation) Release() { r.stop() }
--- a/reservation/reservation.go
+++ b/reservation/reservation.go
@@ -1,11 +1,11 @@
-// Package reservation sets memory aside on several engines for one prompt that no
-// single engine has room for.
+// Package reservation reserves memory on several engines for one prompt that no single
+// engine has room for.
 //
-// Rules kept here: all or nothing, and nothing is held while it waits for more, so
-// that two prompts can't wait for each other; every reservation is released on
-// every way out, also when its caller is gone; its lease is short and renewed, so
-// that an entry that dies leaves nothing behind for long; and its owner is told where
-// no prompt begins to use it, so that a silent engine keeps nothing for long either.
+// The package guarantees the following. A reservation is all or nothing, and no memory is
+// held while waiting for more, so two prompts can't wait for each other. Every reservation
+// is released on every path, also when its caller is gone. Leases are short and renewed, so
+// an entry that dies holds memory only briefly. The owner is notified if no prompt begins
+// to use the memory, so an unresponsive engine doesn't hold it for long either.
 package reservation
 
 import (
@@ -25,60 +25,60 @@
 
 // Errors of a reservation. Test with errors.Is.
 const (
-	// ErrNoMemory: the engine has no room now. Nothing was reserved.
+	// ErrNoMemory means that the engine has no room at present. Nothing was reserved.
 	ErrNoMemory = errors.ConstError("engine has no free memory")
-	// ErrOutcomeUnknown: no answer; the reservation may be held.
-	ErrOutcomeUnknown = errors.ConstError("outcome of the order unknown")
-	// ErrUnused: no prompt has begun to use the memory in time. It is the cause of
-	// the end of a Held's Context.
-	ErrUnused = errors.ConstError("reserved memory is not used")
+	// ErrOutcomeUnknown means that no reply arrived; the memory may be reserved.
+	ErrOutcomeUnknown = errors.ConstError("outcome of the engine call unknown")
+	// ErrUnused means that no prompt has begun to use the memory in time. It is the
+	// cancellation cause of the context that Reservation.Context returns.
+	ErrUnused = errors.ConstError("reserved memory was not used in time")
 )
 
 const (
-	// lease is how long a reservation holds without being renewed. The platform
-	// counts memory as lost four seconds after its last use.
-	lease = 3 * time.Second
-	// renewEvery leaves two tries before the lease ends.
-	renewEvery = time.Second
-	// orderTimeout bounds one order. Engines answer within a millisecond; a lost
-	// packet is sent again after a second.
-	orderTimeout = 700 * time.Millisecond
-	// releaseTries and releasePause bound the tries of a release; the lease ends
-	// the reservation in any case.
-	releaseTries = 3
-	releasePause = 200 * time.Millisecond
+	// leaseDuration is how long a reservation lasts without renewal. The platform counts
+	// memory as lost four seconds after its last use.
+	leaseDuration = 3 * time.Second
+	// renewInterval allows two renewals before the lease expires.
+	renewInterval = time.Second
+	// callTimeout bounds one call to an engine. Engines respond within a millisecond; a
+	// lost packet is retransmitted after a second.
+	callTimeout = 700 * time.Millisecond
+	// maxReleaseAttempts and releaseRetryDelay bound the attempts to release a part. The
+	// lease ends it in any case.
+	maxReleaseAttempts = 3
+	releaseRetryDelay  = 200 * time.Millisecond
 )
 
-// Usage is what an engine says of a reservation.
+// Usage is the state of a reservation as its engine reports it.
 type Usage string
 
-// Uses of a reservation.
+// The states of a reservation.
 const (
-	UsageUnknown Usage = "unknown" // the engine didn't say
+	UsageUnknown Usage = "unknown" // the engine reported no state
 	Unused       Usage = "unused"  // reserved, and no prompt has begun to fill it
-	InUse        Usage = "in_use"  // a prompt is kept in it, or being read into it
+	InUse        Usage = "in_use"  // a prompt is held in it or being prefilled into it
 	NotHeld      Usage = "not_held"
 )
 
-// EngineClient gives orders to engines.
+// EngineClient sends requests to engines.
 type EngineClient interface {
-	// Reserve sets tokens aside under an id, or renews what is under it. The error
-	// is ErrNoMemory or ErrUnknown.
+	// Reserve reserves tokens under an id, or renews the reservation with that id. The
+	// error is ErrNoMemory or ErrOutcomeUnknown.
 	Reserve(ctx context.Context, e Engine, id string, tokens int, hold time.Duration) error
-	// Release ends a reservation; one that doesn't exist is no error.
+	// Release ends a reservation. It is not an error if the reservation doesn't exist.
 	Release(ctx context.Context, e Engine, id string) error
-	// Usage tells whether a reservation is in use, as of some hundred milliseconds ago.
-	// With an error it is UsageUnknown.
+	// Usage returns the state of a reservation as of some hundred milliseconds ago. It
+	// returns UsageUnknown with every error.
 	Usage(ctx context.Context, e Engine, id string) (Usage, error)
 }
 
-// Engine names an engine to an Engines.
+// Engine identifies an engine for an EngineClient.
 type Engine struct {
 	Address  string
 	Instance string
 }
 
-// Part is what one engine holds.
+// Part is the memory reserved on one engine.
 type Part struct {
 	Engine Engine
 	Tokens int
@@ -91,19 +91,19 @@
 	owner   string
 	seq     atomic.Uint64
 	log     logrus.FieldLogger
-	tally   tally
-	pending sync.WaitGroup // releases and renewals in progress
+	metrics reservationMetrics
+	pending sync.WaitGroup // renewals, releases and usage checks in progress
 }
 
-// New returns a Reserver whose ids begin with owner, which no other process uses.
+// New returns a Reserver whose ids begin with owner, which must be unique to this process.
 func New(engines EngineClient, owner uint64, log logrus.FieldLogger, r metrics.Registry) *Reserver {
-	return &Reserver{engines: engines, owner: strconv.FormatUint(owner, 36), log: log, tally: newTally(r)}
+	return &Reserver{engines: engines, owner: strconv.FormatUint(owner, 36), log: log, metrics: newReservationMetrics(r)}
 }
 
-// Acquire reserves all parts or none. The error is that of a part that could not be
-// had; failed is its index. Lines about the reservations carry request, the id of the
-// request that they are for.
-func (r *Reserver) Acquire(ctx context.Context, request string, parts []Part) (held *Reservation, failed int, err error) {
+// Acquire reserves all parts or none. On failure it returns the index of the first part
+// that could not be reserved and the error of that part. Log lines about the reservation
+// carry request, the id of the request that it is for.
+func (r *Reserver) Acquire(ctx context.Context, request string, parts []Part) (reservation *Reservation, failed int, err error) {
 	for i := range parts {
 		parts[i].ID = r.owner + "-" + strconv.FormatUint(r.seq.Add(1), 36)
 	}
@@ -111,7 +111,7 @@
 	var group errgroup.Group
 	for i := range parts {
 		group.Go(func() error {
-			results[i] = r.order(ctx, func(ctx context.Context) error { return r.reserve(ctx, &parts[i]) })
+			results[i] = r.call(ctx, func(ctx context.Context) error { return r.reserve(ctx, &parts[i]) })
 			return nil
 		})
 	}
@@ -120,25 +120,25 @@
 		if result == nil {
 			continue
 		}
-		r.releaseAll(parts, results)
+		r.releaseFailed(parts, results)
 		return nil, i, errors.Annotatef(result, "step reserve memory, peer %s", parts[i].Engine.Address)
 	}
-	return r.hold(context.WithoutCancel(ctx), request, parts), 0, nil
+	return r.newReservation(context.WithoutCancel(ctx), request, parts), 0, nil
 }
 
 func (r *Reserver) reserve(ctx context.Context, p *Part) error {
-	return r.engines.Reserve(ctx, p.Engine, p.ID, p.Tokens, lease)
+	return r.engines.Reserve(ctx, p.Engine, p.ID, p.Tokens, leaseDuration)
 }
 
-func (r *Reserver) order(ctx context.Context, send func(context.Context) error) error {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+func (r *Reserver) call(ctx context.Context, send func(context.Context) error) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return send(ctx)
 }
 
-// releaseAll ends what a failed Acquire may hold, in the background: a part whose
-// answer was lost counts as held.
-func (r *Reserver) releaseAll(parts []Part, results []error) {
+// releaseFailed releases in the background what a failed Acquire may have reserved. A part
+// whose reply was lost counts as reserved.
+func (r *Reserver) releaseFailed(parts []Part, results []error) {
 	for i := range parts {
 		if errors.Is(results[i], ErrNoMemory) {
 			continue
@@ -148,20 +148,20 @@
 	}
 }
 
-// release ends one part, and tries again where an answer is lost.
+// release releases one part, and retries if a reply is lost.
 func (r *Reserver) release(p Part) {
-	for try := range releaseTries {
-		err := r.order(context.Background(), func(ctx context.Context) error {
+	for try := range maxReleaseAttempts {
+		err := r.call(context.Background(), func(ctx context.Context) error {
 			return r.engines.Release(ctx, p.Engine, p.ID)
 		})
 		if err == nil {
 			return
 		}
 		r.log.WithError(err).WithFields(logrus.Fields{"server": p.Engine.Address, "reservation": p.ID, "try": try + 1}).
-			Warn("reservation not released; its lease ends it")
-		sleep.For(context.Background(), releasePause)
+			Warn("reservation not released; it ends when its lease expires")
+		sleep.For(context.Background(), releaseRetryDelay)
 	}
 }
 
-// Wait waits until all releases have ended.
+// Wait waits until all renewals, releases and usage checks have ended.
 func (r *Reserver) Wait() { r.pending.Wait() }
--- a/reservation/use.go
+++ b/reservation/use.go
@@ -10,71 +10,74 @@
 )
 
 const (
-	// useExpected is when the engines are asked whether a prompt has begun to use what
-	// is reserved for it, unless its first token has come. An engine that can't begin
-	// because one that helps it is gone refuses after 1.5 s, which is better to have:
-	// it proves that the prompt did not run.
-	useExpected = 1600 * time.Millisecond
-	// useAgain is the pause between two questions. Reports are 200 ms old.
-	useAgain = 300 * time.Millisecond
-	// unusedAnswers is how many answers must say that nothing has begun, while none says
-	// the opposite: of the engines of one prompt some report its beginning later than
-	// others. Engines that don't answer count for neither.
-	unusedAnswers = 2
+	// usageCheckDelay is the time after which the engines are asked whether a prompt has
+	// begun to use its reservation, unless its first token has arrived. An engine that
+	// can't begin because one of its helpers is gone refuses after 1.5 s. That refusal is
+	// preferable, because it proves that the prompt did not run.
+	usageCheckDelay = 1600 * time.Millisecond
+	// usageCheckInterval is the time between two checks. Reports are 200 ms old.
+	usageCheckInterval = 300 * time.Millisecond
+	// minUnusedReplies is how many replies must say that nothing has begun before the
+	// reservation counts as unused, provided that none says the opposite: the engines of
+	// one prompt report its start at different times. Engines that don't reply count
+	// neither way.
+	minUnusedReplies = 2
 )
 
-// watchUse finds out whether a prompt begins to use the memory. An engine that takes a
-// prompt and stays silent is not told from one that reads for long by its answer; but
-// all engines that keep the prompt say whether it has begun. Memory that nobody uses
-// would else be kept, and the caller kept waiting, for as long as the caller has
-// patience: twelve seconds in place of two.
-func (h *Reservation) watchUse(ctx context.Context) {
-	if !sleep.For(ctx, useExpected) {
+// watchUsage checks whether a prompt begins to use the memory. An engine that accepts a
+// prompt and doesn't respond can't be told from one with a long prefill by its response
+// alone, but every engine that holds the prompt reports whether it has begun. Without this
+// check unused memory would be reserved, and the caller would wait, until the caller's
+// timeout: twelve seconds instead of two.
+func (r *Reservation) watchUsage(ctx context.Context) {
+	if !sleep.For(ctx, usageCheckDelay) {
 		return
 	}
 	unused := 0
-	for question := 0; !h.used.Load(); question++ {
-		// From the last on: the first is the one that may be silent altogether.
-		last := len(h.Parts) - 1
-		switch h.ask(ctx, h.Parts[last-question%len(h.Parts)]) {
+	for check := 0; !r.used.Load(); check++ {
+		// Starts with the last part: the first engine is the primary, which may be
+		// unresponsive.
+		last := len(r.Parts) - 1
+		switch r.queryUsage(ctx, r.Parts[last-check%len(r.Parts)]) {
 		case InUse:
-			h.used.Store(true)
+			r.used.Store(true)
 			return
 		case Unused:
 			unused++
 		}
-		if unused >= unusedAnswers && !h.used.Load() {
-			h.sayUnused()
+		if unused >= minUnusedReplies && !r.used.Load() {
+			r.markUnused()
 			return
 		}
-		if !sleep.For(ctx, useAgain) {
+		if !sleep.For(ctx, usageCheckInterval) {
 			return
 		}
 	}
 }
 
-func (h *Reservation) ask(ctx context.Context, p Part) Usage {
-	use := UsageUnknown
-	err := h.reserver.order(ctx, func(ctx context.Context) (err error) {
-		use, err = h.reserver.engines.Usage(ctx, p.Engine, p.ID)
+func (r *Reservation) queryUsage(ctx context.Context, p Part) Usage {
+	usage := UsageUnknown
+	err := r.reserver.call(ctx, func(ctx context.Context) (err error) {
+		usage, err = r.reserver.engines.Usage(ctx, p.Engine, p.ID)
 		return err
 	})
 	if ctx.Err() != nil {
 		return UsageUnknown
 	}
-	line := h.log.WithFields(logrus.Fields{"server": p.Engine.Address, "held_ms": time.Since(h.since).Milliseconds(), "use": use})
+	line := r.log.WithFields(logrus.Fields{"server": p.Engine.Address, "held_ms": time.Since(r.reservedAt).Milliseconds(), "use": usage})
 	if err != nil {
 		line = line.WithError(err)
 	}
-	line.Info("memory without a first token")
-	return use
+	line.Info("usage of reserved memory checked before first token")
+	return usage
 }
 
-// Context returns a context that ends with its parent, and with the cause ErrUnused
-// when the engines say that no prompt has begun to use the memory. Cancel it.
-func (h *Reservation) Context(parent context.Context) (context.Context, context.CancelFunc) {
+// Context returns a context that ends with its parent, or with the cause ErrUnused when the
+// engines report that no prompt has begun to use the memory. The caller must call the
+// CancelFunc.
+func (r *Reservation) Context(parent context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
-	stop := context.AfterFunc(h.unused, func() { cancel(ErrUnused) })
+	stop := context.AfterFunc(r.unused, func() { cancel(ErrUnused) })
 	return ctx, func() {
 		stop()
 		cancel(context.Canceled)
