--- a/agent/admit.go
+++ b/agent/admit.go
@@ -36,7 +36,7 @@
 // admit decides on a run and enters it in the tables. A long run or a suspect may
 // wait.
 func (a *Agent) admit(r *run) (*refusal, error) {
-	if freed, err := a.ledger.Seen(a.cfg.Now(), r.owner); err == nil {
+	if freed, err := a.ledger.ObserveOwner(a.cfg.Now(), r.owner); err == nil {
 		a.apply(freed, errOwnerGone)
 	}
 	giveUp := time.NewTimer(min(a.patience(r), r.timeout))
@@ -45,7 +45,7 @@
 	defer again.Stop()
 	defer a.leaveLine(r)
 	for {
-		memory := a.ledger.Changed()
+		memory := a.ledger.FreedNotify()
 		refused, changed, err := a.tryAdmit(r)
 		if err != nil || refused == nil || !a.mayWait(r, refused) {
 			return refused, err
@@ -57,7 +57,7 @@
 		case <-giveUp.C:
 			return refused, nil
 		case <-r.ctx.Done():
-			a.ledger.Abandon(r.queueID())
+			a.ledger.CancelWait(r.queueID())
 			return &refusal{wirepb.RefuseCode_REFUSE_DEADLINE, context.Cause(r.ctx).Error()}, nil
 		}
 	}
@@ -283,7 +283,7 @@
 	switch {
 	case errors.Is(err, backend.ErrNoMemory), errors.Is(err, backend.ErrNeverFits):
 		return wirepb.RefuseCode_REFUSE_NO_MEMORY
-	case errors.Is(err, backend.ErrTooMany):
+	case errors.Is(err, backend.ErrTooManyReservations):
 		return wirepb.RefuseCode_REFUSE_BUSY
 	case errors.Is(err, backend.ErrHoldUnknown), errors.Is(err, backend.ErrHoldEnded),
 		errors.Is(err, backend.ErrNotOwner):
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -130,11 +130,11 @@
 // when the entry is known to be dead; a broken stream needs no such call.
 func (a *Agent) EntryDead(entry string, incarnation uint64) {
 	owner := backend.Owner{Entry: entry, Incarnation: incarnation}
-	a.apply(a.ledger.OwnerDead(a.cfg.Now(), owner), errOwnerGone)
+	a.apply(a.ledger.ReleaseOwner(a.cfg.Now(), owner), errOwnerGone)
 }
 
 // apply stops at the engine what the ledger freed.
-func (a *Agent) apply(freed backend.Freed, cause error) {
+func (a *Agent) apply(freed backend.Cleanup, cause error) {
 	for _, handle := range freed.Handles {
 		a.reaper.freeSegment(handle)
 	}
--- a/agent/holds.go
+++ b/agent/holds.go
@@ -63,7 +63,7 @@
 
 // heard notes a sign of life of an entry.
 func (a *Agent) heard(owner backend.Owner) {
-	if freed, err := a.ledger.Seen(a.cfg.Now(), owner); err == nil {
+	if freed, err := a.ledger.ObserveOwner(a.cfg.Now(), owner); err == nil {
 		a.apply(freed, errOwnerGone)
 	}
 }
--- a/agent/httpengine.go
+++ b/agent/httpengine.go
@@ -55,16 +55,16 @@
 	if run.Kind == wirepb.Kind_KIND_COMPLETION {
 		kind = request.KindCompletion
 	}
-	stream, err := e.client.Run(ctx, &engine.Run{
-		Kind:       kind,
-		RequestID:  run.ID,
-		Model:      run.Model,
-		Body:       run.Body,
-		Checked:    true, // entries parse each body before they send it
-		Priority:   run.Priority,
-		ResumeFrom: run.ResumeFrom,
-		PriorText:  run.PriorText,
-		Group:      groupMembers(run.Group),
+	stream, err := e.client.Run(ctx, &engine.RunRequest{
+		Kind:          kind,
+		RequestID:     run.ID,
+		Model:         run.Model,
+		Body:          run.Body,
+		BodyValidated: true, // entries parse each body before they send it
+		Priority:      run.Priority,
+		ResumeFrom:    run.ResumeFrom,
+		PriorText:     run.PriorText,
+		KVGroup:       groupMembers(run.Group),
 	})
 	if err != nil {
 		return nil, typed(err)
@@ -72,10 +72,10 @@
 	return &httpStream{stream}, nil
 }
 
-func groupMembers(group []*wirepb.GroupMember) []engine.GroupMember {
-	var out []engine.GroupMember
+func groupMembers(group []*wirepb.GroupMember) []engine.KVGroupMember {
+	var out []engine.KVGroupMember
 	for _, m := range group {
-		out = append(out, engine.GroupMember{Address: m.EngineAddress, Handle: m.Handle, Tokens: int64(m.Tokens)})
+		out = append(out, engine.KVGroupMember{Address: m.EngineAddress, Handle: m.Handle, Tokens: int64(m.Tokens)})
 	}
 	return out
 }
@@ -116,7 +116,7 @@
 	return Segment{
 		Handle:    done.Handle,
 		Tokens:    uint64(done.Tokens),
-		PrefillUS: uint64(done.Prefill.Microseconds()),
+		PrefillUS: uint64(done.PrefillTime.Microseconds()),
 	}, nil
 }
 
@@ -126,11 +126,11 @@
 		header.Add(h.Name, h.Value)
 	}
 	resp, err := e.client.Service(ctx, &engine.ServiceRequest{
-		Method:    call.Method,
-		Path:      call.Path,
-		Header:    header,
-		Body:      bytes.NewReader(call.Body),
-		BodyBytes: int64(len(call.Body)),
+		Method:        call.Method,
+		Path:          call.Path,
+		Header:        header,
+		Body:          bytes.NewReader(call.Body),
+		ContentLength: int64(len(call.Body)),
 	})
 	if err != nil {
 		return nil, typed(err)
@@ -219,7 +219,7 @@
 	if err != nil {
 		return EngineLoad{}, typed(err)
 	}
-	out := EngineLoad{UsedTokens: load.Used, Boot: load.Boot}
+	out := EngineLoad{UsedTokens: load.Used, Boot: load.BootID}
 	for _, r := range load.Requests {
 		out.Requests = append(out.Requests, EngineRequest{ID: r.ID, Handle: r.Handle})
 	}
--- a/agent/relay.go
+++ b/agent/relay.go
@@ -92,7 +92,7 @@
 	r.end.CachedTokens = max(r.end.CachedTokens, c.CachedTokens)
 	r.end.OutputTokens = max(r.end.OutputTokens, c.OutputTokens, r.outputSoFar)
 	prompt := max(r.prompt, int64(r.end.PromptTokens))
-	if err := a.ledger.Grow(r.id, prompt+int64(r.end.OutputTokens)); err != nil {
+	if err := a.ledger.UpdateUsage(r.id, prompt+int64(r.end.OutputTokens)); err != nil {
 		a.counter.overgrown.Inc(1)
 	}
 }
@@ -147,7 +147,7 @@
 	a.prefillDone(r)
 	// A hold that ended while the engine worked would leave the segment with
 	// no owner: memory that the engine never gets back.
-	if err := a.ledger.Keep(a.cfg.Now(), r.id, segment.Handle, int64(segment.Tokens)); err != nil {
+	if err := a.ledger.RetainSegment(a.cfg.Now(), r.id, segment.Handle, int64(segment.Tokens)); err != nil {
 		a.reaper.freeSegment(segment.Handle)
 		return errHoldLapsed
 	}
--- a/backend/backend.go
+++ b/backend/backend.go
@@ -99,21 +99,21 @@
 	Incarnation uint64
 	Load        Load
 	LoadAt      time.Time // when the sample was taken, by the entry's clock
-	HeardAt     time.Time // last sign of life, direct or through a digest
+	LastSeen    time.Time // last sign of life, direct or through a digest
 	State       State
 	// Own counts what this entry dispatched since the sample: requests and
 	// tokens still to prefill. It is what keeps an entry from sending a burst
 	// to the server that looked best in the last report.
-	OwnRunning int32
-	OwnPrefill int64
-	OwnTokens  int64
-	// OwnLong is the part of OwnPrefill that belongs to long prompts.
-	OwnLong int64
+	UnreportedRequests int32
+	UnreportedPrefill  int64
+	UnreportedTokens   int64
+	// UnreportedLongPrefill is the part of UnreportedPrefill that belongs to long prompts.
+	UnreportedLongPrefill int64
 	// Direct says that this entry is a home of the server: its silence means
 	// something. Other rows are heard of only now and then, through digests.
 	Direct bool
-	// Described is the incarnation that sent the Descriptor.
-	Described uint64
+	// DescribedIncarnation is the incarnation that sent the Descriptor.
+	DescribedIncarnation uint64
 }
 
 // CapacityTokens returns the KV capacity: as sampled, else as described.
@@ -127,5 +127,5 @@
 // FreeTokens returns the KV memory that is free as far as known, counting what
 // this entry sent since the sample. It is never negative.
 func (r *Row) FreeTokens() int64 {
-	return max(0, r.CapacityTokens()-r.Load.Used-r.Load.Held-r.OwnTokens)
+	return max(0, r.CapacityTokens()-r.Load.Used-r.Load.Held-r.UnreportedTokens)
 }
--- a/backend/example_test.go
+++ b/backend/example_test.go
@@ -17,11 +17,11 @@
 	engine := backend.Descriptor{Name: "briar-1", Pool: "briar-pool", MemoryTokens: 1000}
 	table.Observe(engine, 1, backend.Load{Sequence: 1, Used: 300, Capacity: 1000}, noon)
 
-	dispatch := table.Begin("briar-1", backend.Work{Prefill: 150, Tokens: 200}, noon)
+	dispatch := table.BeginDispatch("briar-1", backend.DispatchLoad{Prefill: 150, Tokens: 200}, noon)
 	rows := table.Sample("briar-pool", 16, nil, rand.New(rand.NewPCG(1, 1)), nil)
 	fmt.Println(rows[0].Name, rows[0].FreeTokens(), "free")
 
-	table.Done(dispatch)
+	table.EndDispatch(dispatch)
 	table.Sweep(noon.Add(backend.DefaultSuspectAfter + time.Second))
 	row, _ := table.Lookup("briar-1")
 	fmt.Println(row.State, row.FreeTokens(), "free")
--- a/backend/ledger.go
+++ b/backend/ledger.go
@@ -28,8 +28,8 @@
 	ErrOwnerReplaced = errors.ConstError("owner replaced by a newer incarnation")
 	// ErrRunExists: a run of this id is in progress.
 	ErrRunExists = errors.ConstError("run already in progress")
-	// ErrTooMany: the bounded table of holds or waiting requests is full.
-	ErrTooMany = errors.ConstError("too many reservations")
+	// ErrTooManyReservations: the bounded table of holds or waiting requests is full.
+	ErrTooManyReservations = errors.ConstError("too many reservations")
 )
 
 var (
@@ -54,17 +54,17 @@
 	MaxWaiting int           // queued long requests; default 8
 	MaxTTL     time.Duration // longest life of a hold without extension; default 30 s
 	WaitTTL    time.Duration // a queued request must ask again within it; default 3 s
-	// LongShare is the part of the capacity, in percent, that long work may
+	// LongSharePercent is the part of the capacity, in percent, that long work may
 	// take together; default 85. A larger single request may go in alone.
-	LongShare int64
-	// EarmarkShare is the part of each freed token, in percent, that the first
+	LongSharePercent int64
+	// EarmarkSharePercent is the part of each freed token, in percent, that the first
 	// waiting long request keeps; short work may take the rest. Default 75.
-	EarmarkShare int64
-	// MaxEarmark is how long one request may keep tokens while it waits;
+	EarmarkSharePercent int64
+	// MaxEarmarkTime is how long one request may keep tokens while it waits;
 	// default 20 s. Rest is the pause after that, and after an oversized hold,
 	// before tokens are kept again; default 5 s.
-	MaxEarmark time.Duration
-	Rest       time.Duration
+	MaxEarmarkTime  time.Duration
+	EarmarkCooldown time.Duration
 }
 
 // Defaults of LedgerConfig.
@@ -87,10 +87,10 @@
 	c.MaxWaiting = cmp.Or(c.MaxWaiting, defaultMaxWaiting)
 	c.MaxTTL = cmp.Or(c.MaxTTL, defaultMaxTTL)
 	c.WaitTTL = cmp.Or(c.WaitTTL, defaultWaitTTL)
-	c.LongShare = cmp.Or(c.LongShare, defaultLongShare)
-	c.EarmarkShare = cmp.Or(c.EarmarkShare, defaultEarmarkShare)
-	c.MaxEarmark = cmp.Or(c.MaxEarmark, defaultMaxEarmark)
-	c.Rest = cmp.Or(c.Rest, defaultRest)
+	c.LongSharePercent = cmp.Or(c.LongSharePercent, defaultLongShare)
+	c.EarmarkSharePercent = cmp.Or(c.EarmarkSharePercent, defaultEarmarkShare)
+	c.MaxEarmarkTime = cmp.Or(c.MaxEarmarkTime, defaultMaxEarmark)
+	c.EarmarkCooldown = cmp.Or(c.EarmarkCooldown, defaultRest)
 	return c
 }
 
@@ -176,8 +176,8 @@
 	}
 }
 
-// Changed returns a channel that is closed when tokens are next freed.
-func (l *Ledger) Changed() <-chan struct{} {
+// FreedNotify returns a channel that is closed when tokens are next freed.
+func (l *Ledger) FreedNotify() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.changed == nil {
@@ -193,7 +193,7 @@
 }
 
 func (l *Ledger) longLimit() int64 {
-	return l.cfg.Capacity * l.cfg.LongShare / 100
+	return l.cfg.Capacity * l.cfg.LongSharePercent / 100
 }
 
 // freed notes that reserved fell by tokens: part of them is kept for the first
--- a/backend/ledger_broken_test.go
+++ b/backend/ledger_broken_test.go
@@ -39,7 +39,7 @@
 
 type ignoresOwner struct{ *Ledger }
 
-func (b ignoresOwner) Release(now time.Time, id string, owner Owner) (Freed, error) {
+func (b ignoresOwner) Release(now time.Time, id string, owner Owner) (Cleanup, error) {
 	if h := b.holds[id]; h != nil {
 		owner = h.owner
 	}
@@ -48,7 +48,7 @@
 
 type neverExpires struct{ *Ledger }
 
-func (b neverExpires) Sweep(time.Time) Freed { return Freed{} }
+func (b neverExpires) Sweep(time.Time) Cleanup { return Cleanup{} }
 
 type overcommits struct{ *Ledger }
 
@@ -67,12 +67,12 @@
 
 type forgetsDeadOwner struct{ *Ledger }
 
-func (b forgetsDeadOwner) OwnerDead(time.Time, Owner) Freed { return Freed{} }
+func (b forgetsDeadOwner) ReleaseOwner(time.Time, Owner) Cleanup { return Cleanup{} }
 
 type dropsKeptCharge struct{ *Ledger }
 
-func (b dropsKeptCharge) Keep(now time.Time, id, handle string, tokens int64) error {
-	err := b.Ledger.Keep(now, id, handle, tokens)
+func (b dropsKeptCharge) RetainSegment(now time.Time, id, handle string, tokens int64) error {
+	err := b.Ledger.RetainSegment(now, id, handle, tokens)
 	if err == nil {
 		b.used = 0
 	}
--- a/backend/ledger_hold.go
+++ b/backend/ledger_hold.go
@@ -11,14 +11,14 @@
 	TTL    time.Duration // bounded by MaxTTL
 }
 
-// Freed lists what the agent must stop at the engine because its reservation
+// Cleanup lists what the agent must stop at the engine because its reservation
 // ended. The tokens of the runs stay charged until Finish.
-type Freed struct {
+type Cleanup struct {
 	Runs    []string // engine request ids to cancel
 	Handles []string // exported segments to free
 }
 
-func (f *Freed) add(other Freed) {
+func (f *Cleanup) add(other Cleanup) {
 	f.Runs = append(f.Runs, other.Runs...)
 	f.Handles = append(f.Handles, other.Handles...)
 }
@@ -36,7 +36,7 @@
 		return l.sameHold(now, h, spec)
 	}
 	if len(l.holds) >= l.cfg.MaxHolds {
-		return time.Time{}, ErrTooMany
+		return time.Time{}, ErrTooManyReservations
 	}
 	if err := l.admitLong(now, spec.ID, spec.Owner, spec.Tokens); err != nil {
 		return time.Time{}, err
@@ -96,26 +96,26 @@
 
 // Release ends a hold, and cancels what runs on it. The id can't be granted
 // afterwards, also if it was not known: its Hold may still be on the way.
-func (l *Ledger) Release(now time.Time, id string, owner Owner) (Freed, error) {
+func (l *Ledger) Release(now time.Time, id string, owner Owner) (Cleanup, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	defer l.check()
 	h, ok := l.holds[id]
 	if ok && h.owner != owner {
-		return Freed{}, ErrNotOwner
+		return Cleanup{}, ErrNotOwner
 	}
 	if !ok {
 		l.unqueue(id)
 		l.remember(now, id)
-		return Freed{}, ErrHoldUnknown
+		return Cleanup{}, ErrHoldUnknown
 	}
 	return l.endHold(now, h), nil
 }
 
 // endHold frees a hold. Its runs pay for themselves until they are finished.
 // Call with mu held.
-func (l *Ledger) endHold(now time.Time, h *hold) Freed {
-	var out Freed
+func (l *Ledger) endHold(now time.Time, h *hold) Cleanup {
+	var out Cleanup
 	keep := int64(0)
 	for _, r := range l.runs {
 		if r.hold != h {
--- a/backend/ledger_model_test.go
+++ b/backend/ledger_model_test.go
@@ -13,13 +13,13 @@
 type ledgerOps interface {
 	Hold(time.Time, HoldSpec) (time.Time, error)
 	Extend(time.Time, string, Owner, time.Duration) (time.Time, error)
-	Release(time.Time, string, Owner) (Freed, error)
+	Release(time.Time, string, Owner) (Cleanup, error)
 	Admit(time.Time, RunSpec) error
-	Grow(string, int64) error
+	UpdateUsage(string, int64) error
 	Finish(time.Time, string) bool
-	Keep(now time.Time, id, handle string, tokens int64) error
-	OwnerDead(time.Time, Owner) Freed
-	Sweep(time.Time) Freed
+	RetainSegment(now time.Time, id, handle string, tokens int64) error
+	ReleaseOwner(time.Time, Owner) Cleanup
+	Sweep(time.Time) Cleanup
 	State() LedgerState
 }
 
@@ -198,7 +198,7 @@
 			m.end(id)
 		}
 	}
-	l.OwnerDead(m.now, owner)
+	l.ReleaseOwner(m.now, owner)
 	return nil
 }
 
@@ -284,7 +284,7 @@
 
 func (m *ledgerModel) applyGrow(l ledgerOps, run string, used int64) error {
 	before := l.State()
-	err := l.Grow(run, used)
+	err := l.UpdateUsage(run, used)
 	r, ok := m.runs[run]
 	if !ok || used <= r.used {
 		return expect(err == nil, "grow: %v", err)
@@ -305,7 +305,7 @@
 }
 
 func (m *ledgerModel) applyKeep(l ledgerOps, run string, tokens int64) error {
-	err := l.Keep(m.now, run, "handle-"+run, tokens)
+	err := l.RetainSegment(m.now, run, "handle-"+run, tokens)
 	r, ok := m.runs[run]
 	if !ok || r.hold == "" {
 		return expect(errors.Is(err, ErrHoldUnknown), "keep without hold: %v", err)
--- a/backend/ledger_owner.go
+++ b/backend/ledger_owner.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Seen notes that an owner is alive. A newer incarnation of an entry means that
+// ObserveOwner notes that an owner is alive. A newer incarnation of an entry means that
 // the earlier one is dead: all that it had is freed.
-func (l *Ledger) Seen(now time.Time, owner Owner) (Freed, error) {
+func (l *Ledger) ObserveOwner(now time.Time, owner Owner) (Cleanup, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	defer l.check()
 	known := l.owners[owner.Entry]
 	if owner.Incarnation < known {
-		return Freed{}, ErrOwnerReplaced
+		return Cleanup{}, ErrOwnerReplaced
 	}
 	if owner.Incarnation == known {
-		return Freed{}, nil
+		return Cleanup{}, nil
 	}
 	if len(l.owners) >= maxOwners {
 		l.forgetIdleOwners()
@@ -42,16 +42,16 @@
 	}
 }
 
-// OwnerDead frees all holds of an owner and cancels its runs.
-func (l *Ledger) OwnerDead(now time.Time, owner Owner) Freed {
+// ReleaseOwner frees all holds of an owner and cancels its runs.
+func (l *Ledger) ReleaseOwner(now time.Time, owner Owner) Cleanup {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	defer l.check()
 	return l.freeOwners(now, func(o Owner) bool { return o == owner })
 }
 
-func (l *Ledger) freeOwners(now time.Time, dead func(Owner) bool) Freed {
-	var out Freed
+func (l *Ledger) freeOwners(now time.Time, dead func(Owner) bool) Cleanup {
+	var out Cleanup
 	for i := len(l.queue.waiting) - 1; i >= 0; i-- {
 		if dead(l.queue.waiting[i].owner) {
 			l.removeWaiter(i)
@@ -74,11 +74,11 @@
 
 // Sweep ends holds past their expiry and drops lapsed waiters. A hold on which
 // something runs is kept: its owner's stream is alive.
-func (l *Ledger) Sweep(now time.Time) Freed {
+func (l *Ledger) Sweep(now time.Time) Cleanup {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	defer l.check()
-	var out Freed
+	var out Cleanup
 	for _, h := range l.holds {
 		if now.After(h.expiry) && h.running == 0 {
 			out.add(l.endHold(now, h))
--- a/backend/ledger_queue.go
+++ b/backend/ledger_queue.go
@@ -72,7 +72,7 @@
 		return ErrNoMemory
 	}
 	if len(l.queue.waiting) >= l.cfg.MaxWaiting {
-		return ErrTooMany
+		return ErrTooManyReservations
 	}
 	l.queue.waiting = append(l.queue.waiting, &waiter{id: id, owner: owner, tokens: tokens, asked: now})
 	l.collect(now)
@@ -103,7 +103,7 @@
 		bound = want
 		q.oversized = true
 	}
-	share := (tokens*l.cfg.EarmarkShare + 99) / 100
+	share := (tokens*l.cfg.EarmarkSharePercent + 99) / 100
 	grown := max(q.earmark, min(q.earmark+share, bound))
 	q.earmark = min(grown, l.free())
 }
@@ -119,13 +119,13 @@
 		}
 		i++
 	}
-	if !q.since.IsZero() && now.Sub(q.since) > l.cfg.MaxEarmark {
+	if !q.since.IsZero() && now.Sub(q.since) > l.cfg.MaxEarmarkTime {
 		// The request had its time. It goes to the end, so that one that can't
 		// fit here doesn't keep memory idle for ever.
 		first := q.waiting[0]
 		l.removeWaiter(0)
 		q.waiting = append(q.waiting, first)
-		q.restUntil = now.Add(l.cfg.Rest)
+		q.restUntil = now.Add(l.cfg.EarmarkCooldown)
 	}
 	l.collect(now)
 }
@@ -163,6 +163,6 @@
 	if l.queue.oversized && !collecting {
 		// Short work waited for the oversized request; it goes first now.
 		l.queue.oversized = false
-		l.queue.restUntil = now.Add(l.cfg.Rest)
+		l.queue.restUntil = now.Add(l.cfg.EarmarkCooldown)
 	}
 }
--- a/backend/ledger_run.go
+++ b/backend/ledger_run.go
@@ -73,18 +73,18 @@
 	return nil
 }
 
-// Abandon drops a long request that gave up waiting to be admitted.
-func (l *Ledger) Abandon(queueID string) {
+// CancelWait drops a long request that gave up waiting to be admitted.
+func (l *Ledger) CancelWait(queueID string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	defer l.check()
 	l.unqueue(queueID)
 }
 
-// Grow notes that the engine uses so many tokens for a run. A use beyond the
+// UpdateUsage notes that the engine uses so many tokens for a run. A use beyond the
 // reservation takes free tokens; if there are none it returns ErrNoMemory, and
 // the surplus appears as Excess with the next Reconcile.
-func (l *Ledger) Grow(id string, used int64) error {
+func (l *Ledger) UpdateUsage(id string, used int64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r, ok := l.runs[id]
@@ -152,10 +152,10 @@
 	l.freed(r.tokens)
 }
 
-// Keep finishes a run whose KV the engine keeps under a handle: the tokens stay
+// RetainSegment finishes a run whose KV the engine keeps under a handle: the tokens stay
 // charged to the hold until it ends. It returns ErrHoldUnknown if the hold ended
 // meanwhile; the caller must then free the segment.
-func (l *Ledger) Keep(now time.Time, id, handle string, tokens int64) error {
+func (l *Ledger) RetainSegment(now time.Time, id, handle string, tokens int64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	defer l.check()
--- a/backend/ledger_test.go
+++ b/backend/ledger_test.go
@@ -43,7 +43,7 @@
 // Cause: nobody is left who would release.
 func TestNewIncarnationFreesTheOld(t *testing.T) {
 	l := NewLedger(LedgerConfig{Capacity: 100})
-	if _, err := l.Seen(ledgerStart, entryA); err != nil {
+	if _, err := l.ObserveOwner(ledgerStart, entryA); err != nil {
 		t.Fatal(err)
 	}
 	mustHold(t, l, ledgerStart, "h", entryA, 40)
@@ -52,14 +52,14 @@
 			t.Fatal(err)
 		}
 	}
-	if err := l.Keep(ledgerStart, "s", "handle", 20); err != nil {
+	if err := l.RetainSegment(ledgerStart, "s", "handle", 20); err != nil {
 		t.Fatal(err)
 	}
-	freed, err := l.Seen(ledgerStart, Owner{Entry: "a", Incarnation: 2})
+	freed, err := l.ObserveOwner(ledgerStart, Owner{Entry: "a", Incarnation: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Freed{Runs: []string{"r"}, Handles: []string{"handle"}}
+	want := Cleanup{Runs: []string{"r"}, Handles: []string{"handle"}}
 	if diff := cmp.Diff(want, freed); diff != "" {
 		t.Fatal(diff)
 	}
--- a/backend/table.go
+++ b/backend/table.go
@@ -15,8 +15,8 @@
 // so that ten seconds are two lost reports and some delay.
 const (
 	DefaultSuspectAfter = 10 * time.Second
-	DefaultGoneAfter    = 45 * time.Second
-	DefaultDigestAfter  = 60 * time.Second
+	DefaultDirectTTL    = 45 * time.Second
+	DefaultIndirectTTL  = 60 * time.Second
 	DefaultMaxRows      = 16_384
 )
 
@@ -26,20 +26,20 @@
 // TableOptions configures a Table. Zero fields take the defaults.
 type TableOptions struct {
 	// SuspectAfter is the silence after which a directly heard server is
-	// suspect, GoneAfter that after which its row is dropped.
+	// suspect, DirectTTL that after which its row is dropped.
 	SuspectAfter time.Duration
-	GoneAfter    time.Duration
-	// DigestAfter is the silence after which a row that is known only through
+	DirectTTL    time.Duration
+	// IndirectTTL is the silence after which a row that is known only through
 	// digests is dropped. Such a row never becomes suspect by silence.
-	DigestAfter time.Duration
+	IndirectTTL time.Duration
 	MaxRows     int
 	Metrics     metrics.Registry // nil: counted nowhere
 }
 
 func (o TableOptions) withDefaults() TableOptions {
 	o.SuspectAfter = cmp.Or(max(o.SuspectAfter, 0), DefaultSuspectAfter)
-	o.GoneAfter = cmp.Or(max(o.GoneAfter, 0), DefaultGoneAfter)
-	o.DigestAfter = cmp.Or(max(o.DigestAfter, 0), DefaultDigestAfter)
+	o.DirectTTL = cmp.Or(max(o.DirectTTL, 0), DefaultDirectTTL)
+	o.IndirectTTL = cmp.Or(max(o.IndirectTTL, 0), DefaultIndirectTTL)
 	o.MaxRows = cmp.Or(max(o.MaxRows, 0), DefaultMaxRows)
 	if o.Metrics == nil {
 		o.Metrics = metrics.NewRegistry()
--- a/backend/table_listed.go
+++ b/backend/table_listed.go
@@ -22,7 +22,7 @@
 		t.stale.Inc(1)
 		return false
 	}
-	if s.Incarnation > rec.row.Described {
+	if s.Incarnation > rec.row.DescribedIncarnation {
 		t.describe(rec, d, s.Incarnation)
 		rec.describedSeq = 0
 	}
--- a/backend/table_observe.go
+++ b/backend/table_observe.go
@@ -40,7 +40,7 @@
 		t.full.Inc(1)
 		return false
 	}
-	rec := &record{row: Row{Descriptor: d, Key: key, Described: incarnation, Direct: true},
+	rec := &record{row: Row{Descriptor: d, Key: key, DescribedIncarnation: incarnation, Direct: true},
 		describedSeq: load.Sequence}
 	t.insert(rec)
 	t.apply(rec, incarnation, load, now, now)
@@ -52,7 +52,7 @@
 	if incarnation < rec.row.Incarnation {
 		return true
 	}
-	return incarnation == rec.row.Described && sequence < rec.describedSeq
+	return incarnation == rec.row.DescribedIncarnation && sequence < rec.describedSeq
 }
 
 // describe replaces the description, and moves the record if its pool changed.
@@ -62,7 +62,7 @@
 		t.leavePool(rec)
 	}
 	rec.row.Descriptor = d
-	rec.row.Described = incarnation
+	rec.row.DescribedIncarnation = incarnation
 	if moved {
 		t.joinPool(rec)
 	}
@@ -81,12 +81,12 @@
 	if t.apply(rec, incarnation, load, now.Add(-max(0, age)), now) {
 		rec.row.Direct = true
 	}
-	return rec.row.Described >= incarnation
+	return rec.row.DescribedIncarnation >= incarnation
 }
 
 // ObserveAnswer takes in the load that came with an answer of a server. Unlike
 // a report it doesn't make this entry a home of the server.
-func (t *Table) ObserveAnswer(name string, load Load, now time.Time) {
+func (t *Table) ObserveResponse(name string, load Load, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if rec := t.rows[KeyOf(name)]; rec != nil {
@@ -101,7 +101,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	rec := t.rows[s.Key]
-	if rec == nil || s.Incarnation > rec.row.Described {
+	if rec == nil || s.Incarnation > rec.row.DescribedIncarnation {
 		return false
 	}
 	at := now.Add(-max(0, s.Age))
@@ -174,8 +174,8 @@
 
 // heard notes a sign of life and sets the state from it.
 func (rec *record) heard(at time.Time) {
-	if at.After(rec.row.HeardAt) {
-		rec.row.HeardAt = at
+	if at.After(rec.row.LastSeen) {
+		rec.row.LastSeen = at
 	}
 	if rec.marked || rec.row.Load.Draining {
 		rec.row.State = StateLeaving
--- a/backend/table_own.go
+++ b/backend/table_own.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Work is what one dispatch brings to a server, in tokens.
-type Work struct {
+// DispatchLoad is what one dispatch brings to a server, in tokens.
+type DispatchLoad struct {
 	Prefill int64 // to prefill, less what is expected in the cache
 	Tokens  int64 // KV memory: prompt and output
 	Long    bool  // a long prompt
@@ -23,13 +23,13 @@
 type ownDispatch struct {
 	id   uint64
 	at   time.Time
-	work Work
+	work DispatchLoad
 }
 
 // Begin counts a dispatch to a server until Done, or until a sample taken after
 // it arrives. Without it every request between two reports would go to the
 // server that looked best in the last one.
-func (t *Table) Begin(name string, w Work, now time.Time) Dispatch {
+func (t *Table) BeginDispatch(name string, w DispatchLoad, now time.Time) Dispatch {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	rec := t.rows[KeyOf(name)]
@@ -44,7 +44,7 @@
 
 // Done ends the counting of a dispatch: at a refusal, at an Admit or End whose
 // load was taken in, or when the attempt failed. Later calls do nothing.
-func (t *Table) Done(d Dispatch) {
+func (t *Table) EndDispatch(d Dispatch) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	rec := t.rows[d.key]
@@ -64,13 +64,13 @@
 
 func (rec *record) sumOwn() {
 	row := &rec.row
-	row.OwnRunning = int32(len(rec.own))
-	row.OwnPrefill, row.OwnTokens, row.OwnLong = 0, 0, 0
+	row.UnreportedRequests = int32(len(rec.own))
+	row.UnreportedPrefill, row.UnreportedTokens, row.UnreportedLongPrefill = 0, 0, 0
 	for _, o := range rec.own {
-		row.OwnPrefill += o.work.Prefill
-		row.OwnTokens += o.work.Tokens
+		row.UnreportedPrefill += o.work.Prefill
+		row.UnreportedTokens += o.work.Tokens
 		if o.work.Long {
-			row.OwnLong += o.work.Prefill
+			row.UnreportedLongPrefill += o.work.Prefill
 		}
 	}
 }
--- a/backend/table_state.go
+++ b/backend/table_state.go
@@ -41,7 +41,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, rec := range t.rows {
-		silence := now.Sub(rec.row.HeardAt)
+		silence := now.Sub(rec.row.LastSeen)
 		if silence > t.keep(rec) {
 			t.remove(rec)
 			dropped++
@@ -57,7 +57,7 @@
 
 func (t *Table) keep(rec *record) time.Duration {
 	if rec.row.Direct {
-		return t.opts.GoneAfter
+		return t.opts.DirectTTL
 	}
-	return t.opts.DigestAfter
+	return t.opts.IndirectTTL
 }
--- a/backend/table_test.go
+++ b/backend/table_test.go
@@ -72,19 +72,19 @@
 func TestOwnDispatchesCountUntilANewerSample(t *testing.T) {
 	table := NewTable(TableOptions{})
 	table.Observe(described("a"), 1, Load{Sequence: 1}, at(0))
-	first := table.Begin("a", Work{Prefill: 10, Tokens: 20}, at(1))
-	table.Begin("a", Work{Prefill: 100, Tokens: 200, Long: true}, at(3))
+	first := table.BeginDispatch("a", DispatchLoad{Prefill: 10, Tokens: 20}, at(1))
+	table.BeginDispatch("a", DispatchLoad{Prefill: 100, Tokens: 200, Long: true}, at(3))
 	row := mustLookup(t, table, "a")
-	if row.OwnRunning != 2 || row.OwnPrefill != 110 || row.OwnLong != 100 || row.FreeTokens() != 780 {
+	if row.UnreportedRequests != 2 || row.UnreportedPrefill != 110 || row.UnreportedLongPrefill != 100 || row.FreeTokens() != 780 {
 		t.Errorf("own counts: %+v", row)
 	}
 	table.ObserveLoad(KeyOf("a"), 1, Load{Sequence: 2}, 2*time.Second, at(4)) // taken at 2
-	table.Done(first)
-	if row := mustLookup(t, table, "a"); row.OwnRunning != 1 || row.OwnPrefill != 100 {
+	table.EndDispatch(first)
+	if row := mustLookup(t, table, "a"); row.UnreportedRequests != 1 || row.UnreportedPrefill != 100 {
 		t.Errorf("after a sample between the two: %+v", row)
 	}
 	table.ObserveLoad(KeyOf("a"), 2, Load{Sequence: 1}, 0, at(5))
-	if row := mustLookup(t, table, "a"); row.OwnRunning != 0 {
+	if row := mustLookup(t, table, "a"); row.UnreportedRequests != 0 {
 		t.Errorf("after a restart: %+v", row)
 	}
 }
@@ -108,7 +108,7 @@
 }
 
 func TestSweepBySilence(t *testing.T) {
-	table := NewTable(TableOptions{SuspectAfter: 10 * time.Second, GoneAfter: 40 * time.Second})
+	table := NewTable(TableOptions{SuspectAfter: 10 * time.Second, DirectTTL: 40 * time.Second})
 	table.Observe(described("a"), 1, Load{Sequence: 1}, at(0))
 	table.Observe(described("b"), 1, Load{Sequence: 1}, at(5))
 	table.Sweep(at(11))
@@ -197,17 +197,17 @@
 		rnd := rand.New(rand.NewPCG(4, uint64(g)))
 		wg.Go(func() {
 			for i := range 200 {
-				d := table.Begin("a", Work{Prefill: 10, Tokens: 10}, at(1))
+				d := table.BeginDispatch("a", DispatchLoad{Prefill: 10, Tokens: 10}, at(1))
 				table.Observe(described(fmt.Sprint(g, i)), 1, Load{Sequence: 1}, at(0))
 				table.Sample("p", 16, nil, rnd, nil)
-				table.ObserveAnswer("a", Load{Sequence: uint64(i), Incarnation: 1}, at(0))
-				table.Done(d)
+				table.ObserveResponse("a", Load{Sequence: uint64(i), Incarnation: 1}, at(0))
+				table.EndDispatch(d)
 			}
 		})
 	}
 	wg.Wait()
 	row := mustLookup(t, table, "a")
-	if row.OwnRunning != 0 || row.OwnPrefill != 0 || row.OwnTokens != 0 || row.Load.Sequence != 199 {
+	if row.UnreportedRequests != 0 || row.UnreportedPrefill != 0 || row.UnreportedTokens != 0 || row.Load.Sequence != 199 {
 		t.Errorf("row after all is done: %+v", row)
 	}
 	if n := table.Len(); n != 801 {
@@ -258,9 +258,9 @@
 	case 2:
 		table.ObserveDigest(DigestSample{Key: KeyOf(name), Incarnation: incarnation, Age: age}, now)
 	case 3:
-		table.ObserveAnswer(name, load, now)
+		table.ObserveResponse(name, load, now)
 	case 4:
-		table.Done(table.Begin(name, Work{Prefill: 1}, now))
+		table.EndDispatch(table.BeginDispatch(name, DispatchLoad{Prefill: 1}, now))
 	case 5:
 		table.MarkDead(name)
 	case 6:
--- a/engine/body.go
+++ b/engine/body.go
@@ -21,8 +21,8 @@
 	fieldModel      = "model"
 )
 
-// GroupMember is a segment that another engine exported.
-type GroupMember struct {
+// KVGroupMember is a segment that another engine exported.
+type KVGroupMember struct {
 	Address string `json:"address"` // ip:port of the engine that holds it
 	Handle  string `json:"handle"`
 	Tokens  int64  `json:"tokens"`
@@ -30,12 +30,12 @@
 
 // rewrite sets the system's fields in the caller's JSON object. It returns the
 // new body in parts, so that a prompt of megabytes is not copied.
-func rewrite(run *Run) ([][]byte, error) {
+func rewrite(run *RunRequest) ([][]byte, error) {
 	object := bytes.TrimSpace(run.Body)
 	if len(object) < len("{}") || object[0] != '{' || object[len(object)-1] != '}' {
 		return nil, errors.Annotate(ErrBadBody, "not an object")
 	}
-	if !run.Checked && !json.Valid(object) {
+	if !run.BodyValidated && !json.Valid(object) {
 		return nil, errors.Annotate(ErrBadBody, "malformed")
 	}
 	if mayHide(object) {
@@ -62,7 +62,7 @@
 // appendFields puts the system's fields at the end of the object, where they
 // prevail over the caller's of the same name: the last of two holds. This reads
 // no byte of the prompt but to look for reserved names.
-func appendFields(run *Run, object []byte) ([][]byte, error) {
+func appendFields(run *RunRequest, object []byte) ([][]byte, error) {
 	own, err := run.fields()
 	if err != nil {
 		return nil, err
@@ -83,7 +83,7 @@
 
 // replaceFields decodes the object's fields, drops the reserved ones and sets
 // the system's own.
-func replaceFields(run *Run, object []byte) ([][]byte, error) {
+func replaceFields(run *RunRequest, object []byte) ([][]byte, error) {
 	fields := map[string]json.RawMessage{}
 	if err := json.Unmarshal(object, &fields); err != nil {
 		return nil, errors.WithType(err, ErrBadBody)
@@ -111,7 +111,7 @@
 }
 
 // fields returns what the system sets.
-func (r *Run) fields() ([]field, error) {
+func (r *RunRequest) fields() ([]field, error) {
 	out := make([]field, 0, 7)
 	out = append(out,
 		field{fieldStream, json.RawMessage("true")},
@@ -133,8 +133,8 @@
 			return nil, err
 		}
 	}
-	if len(r.Group) > 0 {
-		if err := set(fieldGroup, r.Group); err != nil {
+	if len(r.KVGroup) > 0 {
+		if err := set(fieldGroup, r.KVGroup); err != nil {
 			return nil, err
 		}
 	}
--- a/engine/calls.go
+++ b/engine/calls.go
@@ -36,7 +36,7 @@
 	Used         int64         `json:"used_tokens"`
 	Capacity     int64         `json:"capacity_tokens"`
 	Requests     []RequestLoad `json:"requests"`
-	Boot         string        `json:"boot"`
+	BootID       string        `json:"boot"`
 }
 
 // Segment is one part of a long prompt that an engine prefills for others.
@@ -49,11 +49,11 @@
 	Text string `json:"text"`
 }
 
-// Prefilled is an exported segment.
-type Prefilled struct {
-	Handle  string
-	Tokens  int64
-	Prefill time.Duration // as the engine measured it
+// ExportedSegment is an exported segment.
+type ExportedSegment struct {
+	Handle      string
+	Tokens      int64
+	PrefillTime time.Duration // as the engine measured it
 }
 
 // Order changes what an engine serves.
@@ -72,7 +72,7 @@
 type CacheEvent struct {
 	Seq  uint64 `json:"seq"`
 	Op   string `json:"op"`          // store or evict
-	Hash uint64 `json:"hash,string"` // as AppendPrefix computes it
+	Hash uint64 `json:"hash,string"` // as AppendPrefixHashes computes it
 }
 
 // call is a JSON call without a stream; in and out may be nil.
@@ -185,15 +185,15 @@
 // PrefillSegment prefills one segment, which stays in the engine's memory until
 // FreeSegment. After an error other than ErrNotRun the memory may be taken: the
 // handle then shows in Load under the request id.
-func (c *Client) PrefillSegment(ctx context.Context, s *Segment) (Prefilled, error) {
+func (c *Client) PrefillSegment(ctx context.Context, s *Segment) (ExportedSegment, error) {
 	var a prefillAnswer
 	if err := c.call(ctx, "prefill segment", http.MethodPost, "/v1/kv/prefill", s, &a); err != nil {
-		return Prefilled{}, err
+		return ExportedSegment{}, err
 	}
 	if a.Handle == "" || a.Tokens <= 0 || a.PrefillUs < 0 {
-		return Prefilled{}, c.malformed(errors.Errorf("segment %+v", a), "prefill segment")
+		return ExportedSegment{}, c.malformed(errors.Errorf("segment %+v", a), "prefill segment")
 	}
-	return Prefilled{a.Handle, a.Tokens, time.Duration(a.PrefillUs) * time.Microsecond}, nil
+	return ExportedSegment{a.Handle, a.Tokens, time.Duration(a.PrefillUs) * time.Microsecond}, nil
 }
 
 // FreeSegment gives up an exported segment. One that is not there is no error.
--- a/engine/client.go
+++ b/engine/client.go
@@ -25,10 +25,10 @@
 
 // Defaults of Config.
 const (
-	DefaultMaxIdle     = 256
-	DefaultDialTimeout = 2 * time.Second
-	DefaultMaxLine     = 1 << 20
-	DefaultCallTimeout = 5 * time.Second
+	DefaultMaxIdleConns = 256
+	DefaultDialTimeout  = 2 * time.Second
+	DefaultMaxLineBytes = 1 << 20
+	DefaultCallTimeout  = 5 * time.Second
 )
 
 // idleTimeout ends unused connections to the engine.
@@ -36,12 +36,12 @@
 
 // Config says how to reach one engine or service.
 type Config struct {
-	Address     string        // ip:port
-	MaxIdle     int           // idle connections kept
-	DialTimeout time.Duration // for a TCP connection
-	CallTimeout time.Duration // for calls beside runs, segments, orders and long polls
-	MaxLine     int           // bytes in one line of a stream
-	Metrics     metrics.Registry
+	Address      string        // ip:port
+	MaxIdleConns int           // idle connections kept
+	DialTimeout  time.Duration // for a TCP connection
+	CallTimeout  time.Duration // for calls beside runs, segments, orders and long polls
+	MaxLineBytes int           // bytes in one line of a stream
+	Metrics      metrics.Registry
 }
 
 // Client talks to one engine or service. It is safe for concurrent use.
@@ -69,8 +69,8 @@
 			}
 			return &countedConn{Conn: conn}, nil
 		},
-		MaxIdleConns:        cfg.MaxIdle,
-		MaxIdleConnsPerHost: cfg.MaxIdle,
+		MaxIdleConns:        cfg.MaxIdleConns,
+		MaxIdleConnsPerHost: cfg.MaxIdleConns,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
@@ -82,10 +82,10 @@
 }
 
 func (c Config) withDefaults() Config {
-	c.MaxIdle = cmp.Or(max(c.MaxIdle, 0), DefaultMaxIdle)
+	c.MaxIdleConns = cmp.Or(max(c.MaxIdleConns, 0), DefaultMaxIdleConns)
 	c.DialTimeout = cmp.Or(max(c.DialTimeout, 0), DefaultDialTimeout)
 	c.CallTimeout = cmp.Or(max(c.CallTimeout, 0), DefaultCallTimeout)
-	c.MaxLine = cmp.Or(max(c.MaxLine, 0), DefaultMaxLine)
+	c.MaxLineBytes = cmp.Or(max(c.MaxLineBytes, 0), DefaultMaxLineBytes)
 	if c.Metrics == nil {
 		c.Metrics = metrics.NewRegistry()
 	}
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -24,13 +24,13 @@
 	srv := httptest.NewServer(h)
 	t.Cleanup(srv.Close)
 	r := metrics.NewRegistry()
-	c := engine.New(engine.Config{Address: srv.Listener.Addr().String(), MaxLine: 4096, Metrics: r})
+	c := engine.New(engine.Config{Address: srv.Listener.Addr().String(), MaxLineBytes: 4096, Metrics: r})
 	t.Cleanup(c.Close)
 	return c, r
 }
 
-func chat(body string) *engine.Run {
-	return &engine.Run{Kind: request.KindChat, RequestID: "r", Body: []byte(body)}
+func chat(body string) *engine.RunRequest {
+	return &engine.RunRequest{Kind: request.KindChat, RequestID: "r", Body: []byte(body)}
 }
 
 const hello = `{"model":"briar","max_tokens":8,"messages":[{"role":"user","content":"hello"}]}`
@@ -164,7 +164,7 @@
 	} {
 		for _, checked := range []bool{false, true} {
 			run := chat(body)
-			run.Checked = checked
+			run.BodyValidated = checked
 			_, _ = client.Run(t.Context(), run)
 			var wanted map[string]any
 			if err := json.Unmarshal([]byte(want), &wanted); err != nil {
@@ -249,7 +249,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		run := chat(body)
-		run.Checked = true // as agents set it
+		run.BodyValidated = true // as agents set it
 		st, err := client.Run(b.Context(), run)
 		if err != nil {
 			b.Fatal(err)
--- a/engine/idle_test.go
+++ b/engine/idle_test.go
@@ -29,7 +29,7 @@
 	defer c.Close()
 	call := func() error {
 		resp, err := c.Service(context.Background(), &ServiceRequest{
-			Method: http.MethodPost, Path: "/call", Header: http.Header{}, Body: strings.NewReader("{}"), BodyBytes: 2,
+			Method: http.MethodPost, Path: "/call", Header: http.Header{}, Body: strings.NewReader("{}"), ContentLength: 2,
 		})
 		if err != nil {
 			return err
--- a/engine/prefix.go
+++ b/engine/prefix.go
@@ -10,10 +10,10 @@
 // cache, 256 tokens.
 const PrefixBlockBytes = 1024
 
-// AppendPrefix appends the rolling hashes of the whole blocks of a prompt, at
+// AppendPrefixHashes appends the rolling hashes of the whole blocks of a prompt, at
 // most max of them: hash i covers the text up to the end of block i. Cache
 // events name blocks by these hashes.
-func AppendPrefix(dst []uint64, prompt string, max int) []uint64 {
+func AppendPrefixHashes(dst []uint64, prompt string, max int) []uint64 {
 	var previous uint64
 	d := xxhash.New()
 	var buf [8]byte
--- a/engine/probe.go
+++ b/engine/probe.go
@@ -12,14 +12,14 @@
 
 // Findings of a probe.
 const (
-	// Unknown: no answer in time. The engine hangs, is paused or unreachable,
+	// LivenessUnknown: no answer in time. The engine hangs, is paused or unreachable,
 	// and may still run what it was given.
-	Unknown Liveness = iota
-	// Live: it answers, and is the same life of it as before.
-	Live
-	// Died: the connection is refused, or it came back with another boot. What
+	LivenessUnknown Liveness = iota
+	// LivenessLive: it answers, and is the same life of it as before.
+	LivenessLive
+	// LivenessDied: the connection is refused, or it came back with another boot. What
 	// it ran is lost.
-	Died
+	LivenessDied
 )
 
 // Probe tells an engine that died from one that lives, for the case that a
@@ -33,14 +33,14 @@
 		return livenessOf(l, boot)
 	}
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return Died
+		return LivenessDied
 	}
-	return Unknown
+	return LivenessUnknown
 }
 
 func livenessOf(l *Load, boot string) Liveness {
-	if boot != "" && l.Boot != "" && l.Boot != boot {
-		return Died
+	if boot != "" && l.BootID != "" && l.BootID != boot {
+		return LivenessDied
 	}
-	return Live
+	return LivenessLive
 }
--- a/engine/run.go
+++ b/engine/run.go
@@ -20,24 +20,24 @@
 // maxExcerpt bounds what a StatusError carries of it.
 const maxExcerpt = 512
 
-// Run is one attempt at a chat or completion. The client sets stream,
+// RunRequest is one attempt at a chat or completion. The client sets stream,
 // stream_options, priority, resume_from, prior_text and kv_group in the body.
-type Run struct {
-	Kind       request.Kind // KindChat or KindCompletion
-	RequestID  string       // the engine's name for the run
-	Model      string       // as the engine names it; empty leaves the body's
-	Body       []byte       // the caller's JSON object; not changed
-	Checked    bool         // Body is known to be valid JSON: it isn't read again
-	Priority   int32        // lower is sooner
-	ResumeFrom uint64       // chunks that the caller already has
-	PriorText  []byte       // their text
-	Group      []GroupMember
+type RunRequest struct {
+	Kind          request.Kind // KindChat or KindCompletion
+	RequestID     string       // the engine's name for the run
+	Model         string       // as the engine names it; empty leaves the body's
+	Body          []byte       // the caller's JSON object; not changed
+	BodyValidated bool         // Body is known to be valid JSON: it isn't read again
+	Priority      int32        // lower is sooner
+	ResumeFrom    uint64       // chunks that the caller already has
+	PriorText     []byte       // their text
+	KVGroup       []KVGroupMember
 }
 
 // Run sends the request and returns when the head of the answer is there.
 // Errors: ErrBadBody and ErrNotRun (it did not run), *StatusError, ErrMalformed,
 // ErrBroken (it may have run).
-func (c *Client) Run(ctx context.Context, run *Run) (*Stream, error) {
+func (c *Client) Run(ctx context.Context, run *RunRequest) (*Stream, error) {
 	parts, err := rewrite(run)
 	if err != nil {
 		return nil, c.annotate(err, "body")
@@ -61,7 +61,7 @@
 		_ = resp.Body.Close()
 		return nil, c.malformed(errors.Errorf("content type %q", kind), "run")
 	}
-	return &Stream{client: c, body: resp.Body, sse: newSSEReader(resp.Body, c.cfg.MaxLine),
+	return &Stream{client: c, body: resp.Body, sse: newSSEReader(resp.Body, c.cfg.MaxLineBytes),
 		firstByte: time.Since(begin)}, nil
 }
 
--- a/engine/send_test.go
+++ b/engine/send_test.go
@@ -86,7 +86,7 @@
 // can't be rewound; the caller has to decide.
 func TestStreamedBodyIsNotSentAgain(t *testing.T) {
 	c, calls := breakFirst(t, 0)
-	err := post(c, t.Context(), &ServiceRequest{Body: strings.NewReader("x"), BodyBytes: 1})
+	err := post(c, t.Context(), &ServiceRequest{Body: strings.NewReader("x"), ContentLength: 1})
 	if !errors.Is(err, ErrNotRun) || calls.Load() != 1 {
 		t.Errorf("%v after %d calls", err, calls.Load())
 	}
--- a/engine/service.go
+++ b/engine/service.go
@@ -8,11 +8,11 @@
 
 // ServiceRequest is a call to a plain service. It is sent at most once.
 type ServiceRequest struct {
-	Method    string
-	Path      string // with query
-	Header    http.Header
-	Body      io.Reader // nil for none
-	BodyBytes int64     // its length, -1 if unknown
+	Method        string
+	Path          string // with query
+	Header        http.Header
+	Body          io.Reader // nil for none
+	ContentLength int64     // its length, -1 if unknown
 }
 
 // ServiceResponse is a service's answer, any status included. Close its Body.
@@ -32,9 +32,9 @@
 // may have run.
 func (c *Client) Service(ctx context.Context, r *ServiceRequest) (*ServiceResponse, error) {
 	m := &message{step: "service", method: r.Method, path: r.Path, header: cleanHeader(r.Header)}
-	if r.Body != nil && r.BodyBytes != 0 {
+	if r.Body != nil && r.ContentLength != 0 {
 		m.stream = r.Body
-		m.length = r.BodyBytes
+		m.length = r.ContentLength
 	}
 	c.counters.runs.Inc(1)
 	resp, err := c.send(ctx, m)
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -178,7 +178,7 @@
 	if l == nil {
 		return
 	}
-	e.cfg.Rows.ObserveAnswer(name, wire.LoadOf(l), time.Now())
+	e.cfg.Rows.ObserveResponse(name, wire.LoadOf(l), time.Now())
 }
 
 // stepError names the step and peer, and the cause where the entry itself ended
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -237,13 +237,13 @@
 		return result{}, false
 	}
 	c.reach(request.Dispatched)
-	work := backend.Work{
+	work := backend.DispatchLoad{
 		Prefill: max(c.spec.PromptTokens-to.CachedTokens, 0),
 		Tokens:  c.spec.PromptTokens + c.spec.MaxTokens,
 		Long:    c.spec.Class() >= request.ClassLarge,
 	}
-	dispatch := c.e.cfg.Rows.Begin(to.Name, work, time.Now())
-	defer c.e.cfg.Rows.Done(dispatch)
+	dispatch := c.e.cfg.Rows.BeginDispatch(to.Name, work, time.Now())
+	defer c.e.cfg.Rows.EndDispatch(dispatch)
 	start := c.start()
 	start.MaxWaitMs = c.maxWait(to)
 	return c.exchange(ctx, to, start), true
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -30,11 +30,11 @@
 	// with the keys in also.
 	Rows(pool string, out []backend.Row) []backend.Row
 	Sample(pool string, n int, also []uint64, rnd *rand.Rand, out []backend.Row) []backend.Row
-	// Begin and Done count what this entry has dispatched.
-	Begin(name string, w backend.Work, now time.Time) backend.Dispatch
-	Done(d backend.Dispatch)
-	// ObserveAnswer takes in a load sample that an agent sent with an answer.
-	ObserveAnswer(name string, load backend.Load, now time.Time)
+	// BeginDispatch and EndDispatch count what this entry has dispatched.
+	BeginDispatch(name string, w backend.DispatchLoad, now time.Time) backend.Dispatch
+	EndDispatch(d backend.Dispatch)
+	// ObserveResponse takes in a load sample that an agent sent with an answer.
+	ObserveResponse(name string, load backend.Load, now time.Time)
 	Lookup(name string) (backend.Row, bool)
 	// MarkSuspect notes that a server could not be reached.
 	MarkSuspect(name string)
--- a/entry/group.go
+++ b/entry/group.go
@@ -119,12 +119,12 @@
 	now := time.Now()
 	var dispatches []backend.Dispatch
 	for _, m := range g.members {
-		work := backend.Work{Prefill: m.tokens, Tokens: m.reserve, Long: true}
-		dispatches = append(dispatches, rows.Begin(m.Name, work, now))
+		work := backend.DispatchLoad{Prefill: m.tokens, Tokens: m.reserve, Long: true}
+		dispatches = append(dispatches, rows.BeginDispatch(m.Name, work, now))
 	}
 	return func() {
 		for _, d := range dispatches {
-			rows.Done(d)
+			rows.EndDispatch(d)
 		}
 	}
 }
--- a/entry/harness_test.go
+++ b/entry/harness_test.go
@@ -291,12 +291,12 @@
 	return row, true
 }
 
-func (f *fakeFleet) Begin(string, backend.Work, time.Time) backend.Dispatch {
+func (f *fakeFleet) BeginDispatch(string, backend.DispatchLoad, time.Time) backend.Dispatch {
 	f.add(1)
 	return backend.Dispatch{}
 }
 
-func (f *fakeFleet) Done(backend.Dispatch) { f.add(-1) }
+func (f *fakeFleet) EndDispatch(backend.Dispatch) { f.add(-1) }
 
 func (f *fakeFleet) MarkSuspect(name string) {
 	f.mu.Lock()
@@ -310,7 +310,7 @@
 	f.begun += n
 }
 
-func (f *fakeFleet) ObserveAnswer(name string, l backend.Load, _ time.Time) {
+func (f *fakeFleet) ObserveResponse(name string, l backend.Load, _ time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.observed[name] = l
--- a/entry/parse.go
+++ b/entry/parse.go
@@ -224,7 +224,7 @@
 
 // prefix returns the hashes by which engines name the prompt's first blocks.
 func (b *chatBody) prefix() []uint64 {
-	return engine.AppendPrefix(nil, b.head(maxPrefixBlocks*engine.PrefixBlockBytes), maxPrefixBlocks)
+	return engine.AppendPrefixHashes(nil, b.head(maxPrefixBlocks*engine.PrefixBlockBytes), maxPrefixBlocks)
 }
 
 // head returns at most so many bytes from the beginning of the prompt's text.
--- a/entry/path_test.go
+++ b/entry/path_test.go
@@ -84,7 +84,7 @@
 		MemoryTokens: int64(cfg.MemoryTokens)}
 	a, err := agent.New(agent.Config{Descriptor: d, Incarnation: 1, Logger: quiet.Logger(), Metrics: metrics.NewRegistry(),
 		Limits: agent.Limits{MaxRunning: 1 << 20},
-		Engine: agent.OverHTTP(engine.New(engine.Config{Address: address, MaxIdle: 4096}), false)})
+		Engine: agent.OverHTTP(engine.New(engine.Config{Address: address, MaxIdleConns: 4096}), false)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/engine/fault_test.go
+++ b/internal/standin/engine/fault_test.go
@@ -32,9 +32,9 @@
 }
 
 // long is a run that goes on until something ends it.
-func long(id string) *client.Run { return run(id, "a long story", 300_000) }
+func long(id string) *client.RunRequest { return run(id, "a long story", 300_000) }
 
-func begin(t *testing.T, c *client.Client, r *client.Run) *client.Stream {
+func begin(t *testing.T, c *client.Client, r *client.RunRequest) *client.Stream {
 	t.Helper()
 	st, err := c.Run(t.Context(), r)
 	if err != nil {
@@ -62,17 +62,17 @@
 	if _, _, err := collect(innocent, all); !errors.Is(err, client.ErrBroken) {
 		t.Errorf("innocent: %v", err)
 	}
-	if got := c.Probe(t.Context(), "1"); got != client.Died {
+	if got := c.Probe(t.Context(), "1"); got != client.LivenessDied {
 		t.Errorf("probe of a dead engine: %v", got)
 	}
 	if _, err := c.Run(t.Context(), run("next", "hello", 1)); !errors.Is(err, client.ErrNotRun) {
 		t.Errorf("run on a dead engine: %v", err)
 	}
 	s.Recover()
-	if got := c.Probe(t.Context(), "1"); got != client.Died {
+	if got := c.Probe(t.Context(), "1"); got != client.LivenessDied {
 		t.Errorf("probe of another boot: %v", got)
 	}
-	if got := c.Probe(t.Context(), "2"); got != client.Live {
+	if got := c.Probe(t.Context(), "2"); got != client.LivenessLive {
 		t.Errorf("probe of the same boot: %v", got)
 	}
 	if n := s.Counters(); n.Killed != 1 || n.Lost != 2 || n.UsedMemory != 0 {
@@ -88,11 +88,11 @@
 	c := client.New(client.Config{Address: s.Address(), CallTimeout: 30 * time.Millisecond})
 	defer c.Close()
 	s.Hang()
-	if got := c.Probe(t.Context(), "1"); got != client.Unknown {
+	if got := c.Probe(t.Context(), "1"); got != client.LivenessUnknown {
 		t.Errorf("got %v", got)
 	}
 	s.Recover()
-	eventually(t, "live again", func() bool { return c.Probe(t.Context(), "1") == client.Live })
+	eventually(t, "live again", func() bool { return c.Probe(t.Context(), "1") == client.LivenessLive })
 }
 
 // Symptom: after a stream broke, the caller has words twice or not at all.
@@ -204,18 +204,18 @@
 }
 
 // prefillAll exports all but the last segment, one on each engine.
-func prefillAll(t *testing.T, engines []*standin.Server, clients []*client.Client, segments []string) []client.GroupMember {
+func prefillAll(t *testing.T, engines []*standin.Server, clients []*client.Client, segments []string) []client.KVGroupMember {
 	t.Helper()
-	var group []client.GroupMember
+	var group []client.KVGroupMember
 	for i, text := range segments[:len(segments)-1] {
 		p, err := clients[i].PrefillSegment(t.Context(), &client.Segment{RequestID: "g", Index: i, Count: len(segments), Text: text})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if p.Prefill <= 0 || p.Tokens != int64(answer.Count(text)) {
+		if p.PrefillTime <= 0 || p.Tokens != int64(answer.Count(text)) {
 			t.Errorf("segment %d: %+v", i, p)
 		}
-		group = append(group, client.GroupMember{Address: engines[i].Address(), Handle: p.Handle, Tokens: p.Tokens})
+		group = append(group, client.KVGroupMember{Address: engines[i].Address(), Handle: p.Handle, Tokens: p.Tokens})
 	}
 	return group
 }
@@ -236,7 +236,7 @@
 	}
 	group := prefillAll(t, engines, clients, segments)
 	r := run("g", prompt, 21)
-	r.Group = group
+	r.KVGroup = group
 	text, _, err := collect(begin(t, clients[2], r), all)
 	if err != io.EOF {
 		t.Fatal(err)
@@ -267,7 +267,7 @@
 	segments := []string{strings.Repeat("abcd", 90), strings.Repeat("efgh", 90), "ij"}
 	group := prefillAll(t, []*standin.Server{s, s}, []*client.Client{c, c}, segments)
 	r := run("g", strings.Join(segments, ""), 5)
-	r.Group = []client.GroupMember{group[1], group[0]}
+	r.KVGroup = []client.KVGroupMember{group[1], group[0]}
 	_, err := c.Run(t.Context(), r)
 	if e, ok := errors.AsType[*client.StatusError](err); !ok || e.Status != http.StatusBadRequest {
 		t.Errorf("wrong order: %v", err)
@@ -276,7 +276,7 @@
 		t.Fatal(err)
 	}
 	r = run("g", strings.Join(segments, ""), 5)
-	r.Group = group
+	r.KVGroup = group
 	if _, err := c.Run(t.Context(), r); !errors.Is(err, client.ErrNotRun) {
 		t.Errorf("freed segment: %v", err)
 	}
@@ -294,12 +294,12 @@
 		"died":  func(string) { member.Die(); member.Recover() },
 	} {
 		r := run(name, strings.Join(segments, ""), 40_000)
-		r.Group = prefillAll(t, []*standin.Server{member}, []*client.Client{mc}, segments)
+		r.KVGroup = prefillAll(t, []*standin.Server{member}, []*client.Client{mc}, segments)
 		st := begin(t, leader, r)
 		if _, _, err := collect(st, 1); err != nil {
 			t.Fatal(err)
 		}
-		lose(r.Group[0].Handle)
+		lose(r.KVGroup[0].Handle)
 		if _, _, err := collect(st, all); !errors.Is(err, client.ErrBroken) {
 			t.Errorf("%s: %v", name, err)
 		}
@@ -413,7 +413,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	blocks := client.AppendPrefix(nil, prompt, 100)
+	blocks := client.AppendPrefixHashes(nil, prompt, 100)
 	if len(blocks) != 8 || len(events) != 6 || next != 8 {
 		t.Fatalf("%d blocks, %d events, next %d", len(blocks), len(events), next)
 	}
@@ -431,7 +431,7 @@
 		_ = resp.Body.Close()
 	}
 	eventually(t, "died", func() bool { return s.Counters().Killed == 1 })
-	eventually(t, "came back", func() bool { return c.Probe(t.Context(), "2") == client.Live })
+	eventually(t, "came back", func() bool { return c.Probe(t.Context(), "2") == client.LivenessLive })
 }
 
 func TestWholeAnswerWithoutStream(t *testing.T) {
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -53,7 +53,7 @@
 func (s *Server) execute(w http.ResponseWriter, r *http.Request, a *answerWriter, prompt string, share int, body *runBody) {
 	q := newSequence(a.id, body.Priority, max(1, share), a.output)
 	if len(body.Group) == 0 && s.cfg.PrefixCacheTokens > 0 {
-		q.prefix = client.AppendPrefix(nil, prompt, maxPrefixBlocks)
+		q.prefix = client.AppendPrefixHashes(nil, prompt, maxPrefixBlocks)
 	}
 	q.generated.Store(int64(a.firstToken()))
 	if a.firstToken() >= a.output {
--- a/internal/standin/engine/server_test.go
+++ b/internal/standin/engine/server_test.go
@@ -37,8 +37,8 @@
 	return fmt.Sprintf(`{"model":"briar","max_tokens":%d,"messages":[{"role":"user","content":%s}]}`, output, quoted)
 }
 
-func run(id, prompt string, output int) *client.Run {
-	return &client.Run{Kind: request.KindChat, RequestID: id, Body: []byte(chatBody(prompt, output))}
+func run(id, prompt string, output int) *client.RunRequest {
+	return &client.RunRequest{Kind: request.KindChat, RequestID: id, Body: []byte(chatBody(prompt, output))}
 }
 
 // collect reads up to max chunks with text and returns them joined.
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -27,7 +27,7 @@
 func confirm(t *testing.T, c *engine.Client, key, body string) (*engine.ServiceResponse, error) {
 	r := &engine.ServiceRequest{Method: http.MethodPost, Path: "/confirm?game=7", Header: http.Header{"Idempotency-Key": {key}}}
 	if body != "" {
-		r.Body, r.BodyBytes = strings.NewReader(body), int64(len(body))
+		r.Body, r.ContentLength = strings.NewReader(body), int64(len(body))
 	}
 	resp, err := c.Service(t.Context(), r)
 	if err == nil {
--- a/routing/baseline.go
+++ b/routing/baseline.go
@@ -57,7 +57,7 @@
 		if !usable(q, row) {
 			continue
 		}
-		load := float64(row.Load.Running + row.Load.Waiting + row.OwnRunning)
+		load := float64(row.Load.Running + row.Load.Waiting + row.UnreportedRequests)
 		n = insertCandidate(best[:limit], n, candidate{row: int32(at), cost: load})
 	}
 	for i := range best[:n] {
--- a/routing/filter.go
+++ b/routing/filter.go
@@ -74,7 +74,7 @@
 }
 
 func isIdle(row *backend.Row) bool {
-	return row.Load.Running == 0 && row.Load.Waiting == 0 && row.OwnRunning == 0
+	return row.Load.Running == 0 && row.Load.Waiting == 0 && row.UnreportedRequests == 0
 }
 
 // shortShare returns ShortShare or its default.
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -83,7 +83,7 @@
 		{"fits later", func(_ *Query, r *backend.Row) { r.Load.Held = 399_500 }, tierWait},
 		{"suspect", func(_ *Query, r *backend.Row) { r.State = backend.StateSuspect }, tierSuspect},
 		{"other role", func(_ *Query, r *backend.Row) { r.Role = backend.RolePrefill }, tierWait},
-		{"alone, busy", func(q *Query, r *backend.Row) { q.PreferIdle, r.OwnRunning = true, 1 }, tierWait},
+		{"alone, busy", func(q *Query, r *backend.Row) { q.PreferIdle, r.UnreportedRequests = true, 1 }, tierWait},
 		{"alone, idle", func(q *Query, _ *backend.Row) { q.PreferIdle = true }, tierFit},
 	} {
 		q, row := newQuery(1_000), idleRow("a")
@@ -118,7 +118,7 @@
 
 func TestOwnDispatchesAndDistanceRaiseCost(t *testing.T) {
 	near, own, far := idleRow("near"), idleRow("own"), idleRow("far")
-	own.OwnPrefill, own.OwnRunning = 10_000, 1
+	own.UnreportedPrefill, own.UnreportedRequests = 10_000, 1
 	far.Zone = "z2"
 	p := mustNew(t, PolicyCost)
 	got := choiceNames(p, newQuery(1_000), []backend.Row{own, far, near}, 3)
--- a/routing/scorer.go
+++ b/routing/scorer.go
@@ -61,14 +61,14 @@
 	c.sampleAge = max(0, q.Now.Sub(row.LoadAt).Seconds())
 	c.longWork = max(0, float64(row.Load.PrefillLong)/rate-c.sampleAge)
 	c.shortWork = requestOverhead * float64(row.Load.Running+row.Load.Waiting)
-	c.ownWork = requestOverhead * float64(row.OwnRunning)
+	c.ownWork = requestOverhead * float64(row.UnreportedRequests)
 	if q.isLong() {
 		c.shortWork += float64(row.Load.PrefillShort) / rate
-		c.ownWork += float64(row.OwnPrefill) / rate
+		c.ownWork += float64(row.UnreportedPrefill) / rate
 		return
 	}
-	ownShort := float64(row.OwnPrefill - row.OwnLong)
-	if c.longWork > 0 || row.OwnLong > 0 {
+	ownShort := float64(row.UnreportedPrefill - row.UnreportedLongPrefill)
+	if c.longWork > 0 || row.UnreportedLongPrefill > 0 {
 		rate *= 1 - longPrefillShare
 		c.ownWork += longChunkDelay
 	}
