--- a/claim/claim.go
+++ b/claim/claim.go
@@ -25,8 +25,8 @@
 	// ErrBadKey: the key looks issued by an entry and was not, or belongs to
 	// another workspace. A true "not run" of this call.
 	ErrBadKey = errors.ConstError("idempotency key not issued")
-	// ErrSettled: the grant was settled before.
-	ErrSettled = errors.ConstError("grant already settled")
+	// ErrAlreadySettled: the grant was settled before.
+	ErrAlreadySettled = errors.ConstError("grant already settled")
 )
 
 // Key names one non-idempotent call, whatever the number of its sends.
@@ -45,12 +45,12 @@
 	return base64.RawURLEncoding.EncodeToString(sum[:hashBytes])
 }
 
-// Attempt is one send of a call.
-type Attempt struct {
+// Request is one send of a call.
+type Request struct {
 	ID string // request ID, for logs
-	// First is the caller's word that no earlier call was sent under this key.
+	// FirstSend is the caller's word that no earlier call was sent under this key.
 	// It only turns ErrUnverified into ErrNotRun; it never admits a run.
-	First bool
+	FirstSend bool
 }
 
 // State is what is on record of a key.
@@ -79,7 +79,7 @@
 // Record is the answer kept for resends.
 type Record struct {
 	Status    int    // HTTP status
-	Answer    []byte // nil if it was over Config.MaxAnswer, or dropped for space
+	Response  []byte // nil if it was over Config.MaxResponseBytes, or dropped for space
 	Truncated bool   // there was an answer and it is not kept
 }
 
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -52,7 +52,7 @@
 		f := newFleet(t, 1, nil)
 		g := claim(t, f.entries[0], ownKey("k"))
 		settle(t, f.entries[0], g, done)
-		if err := f.entries[0].Settle(t.Context(), g, Outcome{Kind: OutcomeNotRun}); !errors.Is(err, ErrSettled) {
+		if err := f.entries[0].Settle(t.Context(), g, Outcome{Kind: OutcomeNotRun}); !errors.Is(err, ErrAlreadySettled) {
 			t.Errorf("second settle: %v, want ErrSettled", err)
 		}
 	})
@@ -66,11 +66,11 @@
 		f := newFleet(t, 2, nil)
 		settle(t, f.entries[0], claim(t, f.entries[0], ownKey("ran")), done)
 		f.down(true)
-		_, err := f.entries[1].Claim(t.Context(), ownKey("ran"), Attempt{})
+		_, err := f.entries[1].Claim(t.Context(), ownKey("ran"), Request{})
 		if !errors.Is(err, ErrUnverified) {
 			t.Errorf("resend in the outage: %v, want ErrUnverified", err)
 		}
-		_, err = f.entries[1].Claim(t.Context(), ownKey("new"), Attempt{First: true})
+		_, err = f.entries[1].Claim(t.Context(), ownKey("new"), Request{FirstSend: true})
 		if !errors.Is(err, ErrNotRun) {
 			t.Errorf("first send in the outage: %v, want ErrNotRun", err)
 		}
@@ -96,7 +96,7 @@
 			}
 		}
 		f.cut["a"] = true
-		_, err := f.entries[1].Claim(t.Context(), atIssuer, Attempt{})
+		_, err := f.entries[1].Claim(t.Context(), atIssuer, Request{})
 		if !errors.Is(err, ErrUnverified) {
 			t.Errorf("issuer gone: %v, want ErrUnverified", err)
 		}
@@ -119,7 +119,7 @@
 		f.forget(f.entries[0].Issuer())
 		restarted := f.start(t, "a", nil)
 		restarted.Issue(testWorkspace)
-		if _, err := restarted.Claim(t.Context(), k, Attempt{}); !errors.Is(err, ErrUnverified) {
+		if _, err := restarted.Claim(t.Context(), k, Request{}); !errors.Is(err, ErrUnverified) {
 			t.Errorf("got %v, want ErrUnverified", err)
 		}
 	})
@@ -142,7 +142,7 @@
 		{Workspace: "other", IdempotencyKey: c.Issue(testWorkspace)}, // not used yet
 	}
 	for _, k := range forged {
-		if _, err := c.Claim(t.Context(), k, Attempt{}); !errors.Is(err, ErrBadKey) {
+		if _, err := c.Claim(t.Context(), k, Request{}); !errors.Is(err, ErrBadKey) {
 			t.Errorf("%v: %v, want ErrBadKey", k, err)
 		}
 	}
@@ -159,7 +159,7 @@
 		f.store.SetFaults(standin.Faults{LoseNext: 1})
 		slow := &downAfterUpdate{Memory: f.store}
 		f.entries[0].cfg.Store = slow
-		_, err := f.entries[0].Claim(t.Context(), ownKey("k"), Attempt{})
+		_, err := f.entries[0].Claim(t.Context(), ownKey("k"), Request{})
 		if !errors.Is(err, ErrNotRun) {
 			t.Fatalf("got %v, want ErrNotRun", err)
 		}
@@ -183,7 +183,7 @@
 		time.Sleep(time.Second)
 		ctx, cancel := context.WithTimeout(t.Context(), 7*time.Millisecond)
 		defer cancel()
-		_, err := f.entries[0].Claim(ctx, ownKey("k"), Attempt{})
+		_, err := f.entries[0].Claim(ctx, ownKey("k"), Request{})
 		if !errors.Is(err, ErrUnverified) {
 			t.Fatalf("got %v, want ErrUnverified", err)
 		}
@@ -213,7 +213,7 @@
 		f := newFleet(t, 1, nil)
 		claim(t, f.entries[0], ownKey("k"))
 		odd := f.start(t, "odd", func(c *Config) { c.Shards = DefaultShards + 1 })
-		if _, err := odd.Claim(t.Context(), ownKey("k"), Attempt{}); !errors.Is(err, ErrUnverified) {
+		if _, err := odd.Claim(t.Context(), ownKey("k"), Request{}); !errors.Is(err, ErrUnverified) {
 			t.Errorf("got %v, want ErrUnverified", err)
 		}
 	})
--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -18,20 +18,20 @@
 
 // Defaults of a Config.
 const (
-	DefaultShards        = 2
-	DefaultMinInterval   = 50 * time.Millisecond
-	DefaultSettleDelay   = 250 * time.Millisecond
-	DefaultMaxBackoff    = time.Second
-	DefaultStoreTimeout  = 2 * time.Second
-	DefaultRetention     = time.Hour
-	DefaultRunLimit      = 15 * time.Minute
-	DefaultMaxAnswer     = 1 << 10
-	DefaultMaxShardBytes = objectapi.MaxValueBytes * 9 / 10
-	DefaultSealBytes     = 16 << 10
-	DefaultMaxGroup      = 2_000
-	DefaultMaxPending    = 10_000
-	DefaultKeepIssued    = 65_536
-	DefaultMaxTries      = 20
+	DefaultShards           = 2
+	DefaultMinGroupInterval = 50 * time.Millisecond
+	DefaultSettleDelay      = 250 * time.Millisecond
+	DefaultMaxBackoff       = time.Second
+	DefaultStoreTimeout     = 2 * time.Second
+	DefaultRetention        = time.Hour
+	DefaultMaxRunTime       = 15 * time.Minute
+	DefaultMaxResponseBytes = 1 << 10
+	DefaultMaxShardBytes    = objectapi.MaxValueBytes * 9 / 10
+	DefaultSealThreshold    = 16 << 10
+	DefaultMaxGroupOps      = 2_000
+	DefaultMaxPendingOps    = 10_000
+	DefaultMaxIssuedKeys    = 65_536
+	DefaultMaxAttempts      = 20
 	// DefaultForwardTimeout is several times what a healthy group takes: a
 	// shorter one would make entries write a busy writer's shard beside it.
 	DefaultForwardTimeout = 500 * time.Millisecond
@@ -41,24 +41,24 @@
 // with another number than the store has on record, every claim is refused.
 type Config struct {
 	Store objectapi.Store
-	Peers Peers  // nil if there are none
-	Entry string // this entry's name, without a slash
-
-	Shards         int
-	MinInterval    time.Duration // between the starts of two groups of a shard
-	SettleDelay    time.Duration // that settlements wait for a claim's write to carry them
-	MaxBackoff     time.Duration // MinInterval while the store fails
-	StoreTimeout   time.Duration // for one group, from its start or its last conflict
-	Retention      time.Duration // how long a resend is recognised
-	RunLimit       time.Duration // longest that a request may run
-	MaxAnswer      int           // bytes of an answer kept for resends
-	MaxShardBytes  int           // new claims are refused above
-	SealBytes      int           // settled claims are moved out of a shard above
-	MaxGroup       int           // ops of one write
-	MaxPending     int           // ops of a shard that may wait
-	KeepIssued     int           // issued keys remembered
-	MaxTries       int           // writes of one group
-	ForwardTimeout time.Duration // for a claim at another entry, before the next is asked
+	Peers PeerClient // nil if there are none
+	Entry string     // this entry's name, without a slash
+
+	Shards           int
+	MinGroupInterval time.Duration // between the starts of two groups of a shard
+	SettleDelay      time.Duration // that settlements wait for a claim's write to carry them
+	MaxBackoff       time.Duration // MinGroupInterval while the store fails
+	StoreTimeout     time.Duration // for one group, from its start or its last conflict
+	Retention        time.Duration // how long a resend is recognised
+	MaxRunTime       time.Duration // longest that a request may run
+	MaxResponseBytes int           // bytes of an answer kept for resends
+	MaxShardBytes    int           // new claims are refused above
+	SealThreshold    int           // settled claims are moved out of a shard above
+	MaxGroupOps      int           // ops of one write
+	MaxPendingOps    int           // ops of a shard that may wait
+	MaxIssuedKeys    int           // issued keys remembered
+	MaxAttempts      int           // writes of one group
+	ForwardTimeout   time.Duration // for a claim at another entry, before the next is asked
 
 	Metrics metrics.Registry
 
@@ -67,19 +67,19 @@
 
 func (c *Config) setDefaults() {
 	setDefault(&c.Shards, DefaultShards)
-	setDefault(&c.MinInterval, DefaultMinInterval)
+	setDefault(&c.MinGroupInterval, DefaultMinGroupInterval)
 	setDefault(&c.SettleDelay, DefaultSettleDelay)
 	setDefault(&c.MaxBackoff, DefaultMaxBackoff)
 	setDefault(&c.StoreTimeout, DefaultStoreTimeout)
 	setDefault(&c.Retention, DefaultRetention)
-	setDefault(&c.RunLimit, DefaultRunLimit)
-	setDefault(&c.MaxAnswer, DefaultMaxAnswer)
+	setDefault(&c.MaxRunTime, DefaultMaxRunTime)
+	setDefault(&c.MaxResponseBytes, DefaultMaxResponseBytes)
 	setDefault(&c.MaxShardBytes, DefaultMaxShardBytes)
-	setDefault(&c.SealBytes, DefaultSealBytes)
-	setDefault(&c.MaxGroup, DefaultMaxGroup)
-	setDefault(&c.MaxPending, DefaultMaxPending)
-	setDefault(&c.KeepIssued, DefaultKeepIssued)
-	setDefault(&c.MaxTries, DefaultMaxTries)
+	setDefault(&c.SealThreshold, DefaultSealThreshold)
+	setDefault(&c.MaxGroupOps, DefaultMaxGroupOps)
+	setDefault(&c.MaxPendingOps, DefaultMaxPendingOps)
+	setDefault(&c.MaxIssuedKeys, DefaultMaxIssuedKeys)
+	setDefault(&c.MaxAttempts, DefaultMaxAttempts)
 	setDefault(&c.foldRefs, defaultFoldRefs)
 	setDefault(&c.ForwardTimeout, DefaultForwardTimeout)
 	if c.Metrics == nil {
@@ -93,20 +93,20 @@
 	}
 }
 
-// Peers carries claims of issued keys to the entry that issued them, and other
+// PeerClient carries claims of issued keys to the entry that issued them, and other
 // claims to the preferred writers of their shards. A call may be made twice
 // with the same mark; only the answer to one is used.
-type Peers interface {
+type PeerClient interface {
 	// ClaimIssued asks the issuer's Claimer.ServeClaim. ErrBadKey is passed on.
 	ClaimIssued(ctx context.Context, issuer Issuer, key Key, mark string) (Grant, error)
 	// SettleIssued tells the issuer's Claimer.ServeSettle.
 	SettleIssued(ctx context.Context, issuer Issuer, key Key, mark string, o Outcome) error
-	// Writers returns the names of the live entries that share the store and
+	// CandidateWriters returns the names of the live entries that share the store and
 	// take new work, this one included. Views may differ between entries.
-	Writers() []string
+	CandidateWriters() []string
 	// Forward asks an entry's Claimer.ServeForward. Its answers are in the order
 	// of the changes.
-	Forward(ctx context.Context, entry string, b Batch) ([]Answer, error)
+	Forward(ctx context.Context, entry string, b Batch) ([]ChangeResult, error)
 }
 
 // Claimer makes claims for one entry. It is safe for concurrent use.
@@ -131,7 +131,7 @@
 	c := &Claimer{
 		cfg:        cfg,
 		m:          newCounters(cfg.Metrics),
-		issuer:     newIssuer(Issuer{Entry: cfg.Entry, Incarnation: uuid.NewString()}, cfg.KeepIssued),
+		issuer:     newIssuer(Issuer{Entry: cfg.Entry, Incarnation: uuid.NewString()}, cfg.MaxIssuedKeys),
 		layout:     &layout{store: cfg.Store, shards: cfg.Shards},
 		avoid:      avoided{until: map[string]time.Time{}},
 		now:        time.Now,
@@ -165,11 +165,11 @@
 // Claim asks for the right to dispatch a call. Only a fresh grant is one. Every
 // error means that this call was not and will not be dispatched: ErrNotRun and
 // ErrBadKey are a true "not run", ErrUnverified is an "outcome unknown".
-func (c *Claimer) Claim(ctx context.Context, key Key, attempt Attempt) (Grant, error) {
+func (c *Claimer) Claim(ctx context.Context, key Key, attempt Request) (Grant, error) {
 	t := &token{key: key, mark: c.mark()}
 	g, err := c.claim(ctx, t)
 	if err != nil {
-		if attempt.First && errors.Is(err, ErrUnverified) {
+		if attempt.FirstSend && errors.Is(err, ErrUnverified) {
 			err = errors.Annotatef(ErrNotRun, "first call under the key: %v", err)
 		}
 		c.m.refused.Inc(1)
@@ -245,7 +245,7 @@
 	g := c.group(o.hash)
 	if !g.add(o) {
 		c.m.overloaded.Inc(1)
-		return result{}, errors.Annotatef(ErrUnverified, "step queue claim, shard %s: %d pending", g.name, c.cfg.MaxPending)
+		return result{}, errors.Annotatef(ErrUnverified, "step queue claim, shard %s: %d pending", g.name, c.cfg.MaxPendingOps)
 	}
 	select {
 	case r := <-o.answer:
@@ -270,7 +270,7 @@
 		return r
 	}
 	if e, ok := s.Claims[o.hash]; ok {
-		r.prior = e.prior(c.now(), c.cfg.RunLimit)
+		r.prior = e.prior(c.now(), c.cfg.MaxRunTime)
 	}
 	return r
 }
@@ -282,7 +282,7 @@
 // this entry dies before, Unknown.
 func (c *Claimer) Settle(ctx context.Context, g Grant, o Outcome) error {
 	if g.token == nil || !g.token.settled.CompareAndSwap(false, true) {
-		return errors.Annotate(ErrSettled, "step settle")
+		return errors.Annotate(ErrAlreadySettled, "step settle")
 	}
 	o.Record = c.trim(o.Record)
 	t := g.token
@@ -326,7 +326,7 @@
 }
 
 func (c *Claimer) trim(r Record) Record {
-	if len(r.Answer) > c.cfg.MaxAnswer {
+	if len(r.Response) > c.cfg.MaxResponseBytes {
 		return Record{Status: r.Status, Truncated: true}
 	}
 	return r
@@ -355,10 +355,10 @@
 	return nil
 }
 
-// Warm reads what is on record in the shards that this entry may come to write,
+// Preload reads what is on record in the shards that this entry may come to write,
 // so that claims need not wait for it. Call it before the entry says that it is
 // ready, and from time to time. It may run beside claims.
-func (c *Claimer) Warm(ctx context.Context) error {
+func (c *Claimer) Preload(ctx context.Context) error {
 	if err := c.layout.check(ctx); err != nil {
 		return errors.Annotate(err, "step warm claims")
 	}
@@ -384,7 +384,7 @@
 			select {
 			case <-ctx.Done():
 				return errors.Annotatef(ctx.Err(), "step flush, shard %s", g.name)
-			case <-time.After(c.cfg.MinInterval):
+			case <-time.After(c.cfg.MinGroupInterval):
 			}
 		}
 	}
--- a/claim/commit.go
+++ b/claim/commit.go
@@ -33,7 +33,7 @@
 	var last *plan
 	ambiguous := false // a write of this group may have landed, or land late
 	var err error = errTooManyConflicts
-	for n := range g.c.cfg.MaxTries {
+	for n := range g.c.cfg.MaxAttempts {
 		g.setStarted(g.c.now())
 		p, tryErr := g.tryUntil(whole, limit, batch)
 		if p != nil {
@@ -102,14 +102,14 @@
 // pause waits at random after the nth conflict of a group, longer each time, so
 // that entries whose writes met do not meet again.
 func (g *group) pause(ctx context.Context, n int) {
-	longest := g.c.cfg.MinInterval / conflictPart << min(n, maxConflictShift)
+	longest := g.c.cfg.MinGroupInterval / conflictPart << min(n, maxConflictShift)
 	select {
 	case <-ctx.Done():
 	case <-time.After(time.Duration(rand.Int64N(int64(longest) + 1))):
 	}
 }
 
-// conflictPart of MinInterval is the longest wait after a first conflict, and
+// conflictPart of MinGroupInterval is the longest wait after a first conflict, and
 // maxConflictShift bounds how often it doubles.
 const (
 	conflictPart     = 4
--- a/claim/contention_test.go
+++ b/claim/contention_test.go
@@ -66,7 +66,7 @@
 		c := f.start(t, "a", func(cfg *Config) { cfg.Shards = 1 })
 		store.SetFaults(standin.Faults{LatencyMS: 2 * DefaultStoreTimeout.Milliseconds()})
 		begun := c.now()
-		if _, err := c.Claim(t.Context(), ownKey("k"), Attempt{ID: "1"}); err == nil {
+		if _, err := c.Claim(t.Context(), ownKey("k"), Request{ID: "1"}); err == nil {
 			t.Fatal("claimed in a store that is silent")
 		}
 		if took := c.now().Sub(begun); took > DefaultStoreTimeout {
--- a/claim/doc.go
+++ b/claim/doc.go
@@ -18,7 +18,7 @@
 //     these calls go through an outage. If the issuer is gone, the key is never
 //     granted again: what is on record is told, else "unknown".
 //   - A claim on record is never taken over, whatever its age. Running turns to
-//     Unknown after RunLimit, which only changes what is said.
+//     Unknown after MaxRunTime, which only changes what is said.
 //   - A claim that may be on record though its caller was refused is released by
 //     a write that makes any late one fail. If another entry may still write it,
 //     the shard remembers for a time that its mark is withdrawn.
--- a/claim/example_test.go
+++ b/claim/example_test.go
@@ -19,22 +19,22 @@
 		return
 	}
 	key := claim.Key{Workspace: "derwent", IdempotencyKey: "fixture-7-confirm"}
-	grant, err := claimer.Claim(ctx, key, claim.Attempt{ID: "request-1"})
+	grant, err := claimer.Claim(ctx, key, claim.Request{ID: "request-1"})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	fmt.Println("dispatch:", grant.Fresh)
-	answer := claim.Record{Status: 200, Answer: []byte("confirmed")}
+	answer := claim.Record{Status: 200, Response: []byte("confirmed")}
 	if err := claimer.Settle(ctx, grant, claim.Outcome{Kind: claim.OutcomeDone, Record: answer}); err != nil {
 		fmt.Println(err)
 	}
-	resend, err := claimer.Claim(ctx, key, claim.Attempt{ID: "request-2"})
+	resend, err := claimer.Claim(ctx, key, claim.Request{ID: "request-2"})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	fmt.Println("dispatch:", resend.Fresh, resend.Prior.State, string(resend.Prior.Record.Answer))
+	fmt.Println("dispatch:", resend.Fresh, resend.Prior.State, string(resend.Prior.Record.Response))
 	// Output:
 	// dispatch: true
 	// dispatch: false done confirmed
@@ -51,7 +51,7 @@
 	}
 	key := claim.Key{Workspace: "derwent", IdempotencyKey: claimer.Issue("derwent")}
 	for range 2 {
-		grant, err := claimer.Claim(context.Background(), key, claim.Attempt{})
+		grant, err := claimer.Claim(context.Background(), key, claim.Request{})
 		fmt.Println("dispatch:", grant.Fresh, grant.Prior.State, err)
 	}
 	// Output:
--- a/claim/forward.go
+++ b/claim/forward.go
@@ -27,38 +27,38 @@
 
 // Change is one change of a shard on its way to the preferred writer.
 type Change struct {
-	Kind     ChangeKind
-	Hash     string // of workspace and key
-	Mark     string // unique to one claim; every path that a claim takes carries it
-	Outcome  Outcome
-	Issued   bool // the outcome of an issued key, whose claim is not on record
-	Withdraw bool // no claim with this mark may be recorded any more
+	Kind         ChangeKind
+	Hash         string // of workspace and key
+	Mark         string // unique to one claim; every path that a claim takes carries it
+	Outcome      Outcome
+	Issued       bool // the outcome of an issued key, whose claim is not on record
+	WithdrawMark bool // no claim with this mark may be recorded any more
 }
 
 // Batch is what one entry sends to a shard's preferred writer.
 type Batch struct {
-	Shard   string
-	Shards  int       // number of shards as set at the sender
-	Until   time.Time // by wall clocks: no claim of the batch is recorded on a later reading
-	Changes []Change
+	Shard     string
+	Shards    int       // number of shards as set at the sender
+	ExpiresAt time.Time // by wall clocks: no claim of the batch is recorded on a later reading
+	Changes   []Change
 }
 
-// AnswerKind is what became of a Change.
-type AnswerKind uint8
+// ChangeResultKind is what became of a Change.
+type ChangeResultKind uint8
 
-// Kinds of answer. With AnswerUnsure the change may be on record, now or later.
+// Kinds of answer. With ResultUncertain the change may be on record, now or later.
 const (
-	AnswerUnsure  AnswerKind = iota
-	AnswerGranted            // on record
-	AnswerPrior              // another claim is on record; Prior tells of it
-	AnswerNotRun             // not on record, nor will it be; nothing had run
-	AnswerSettled            // on record
-	AnswerRefused            // not on record, nor will it be; the store is in trouble there
+	ResultUncertain ChangeResultKind = iota
+	ResultGranted                    // on record
+	ResultPrior                      // another claim is on record; Prior tells of it
+	ResultNotRun                     // not on record, nor will it be; nothing had run
+	ResultSettled                    // on record
+	ResultRefused                    // not on record, nor will it be; the store is in trouble there
 )
 
-// Answer is the preferred writer's answer to one Change.
-type Answer struct {
-	Kind  AnswerKind
+// ChangeResult is the preferred writer's answer to one Change.
+type ChangeResult struct {
+	Kind  ChangeResultKind
 	Prior Prior
 }
 
@@ -111,7 +111,7 @@
 	}
 	now := g.c.now()
 	best, bestScore := "", uint64(0)
-	for _, entry := range g.c.cfg.Peers.Writers() {
+	for _, entry := range g.c.cfg.Peers.CandidateWriters() {
 		score := g.score(entry)
 		if (best == "" || score > bestScore) && !g.c.avoid.has(entry, now) {
 			best, bestScore = entry, score
@@ -129,7 +129,7 @@
 		return true
 	}
 	mine, before := g.score(g.c.cfg.Entry), 0
-	for _, entry := range g.c.cfg.Peers.Writers() {
+	for _, entry := range g.c.cfg.Peers.CandidateWriters() {
 		if g.score(entry) > mine {
 			before++
 		}
@@ -143,13 +143,13 @@
 
 // forward sends changes to one entry. An error or an answer that is missing
 // leaves them unsure.
-func (g *group) forward(ctx context.Context, entry string, changes []Change) ([]Answer, error) {
+func (g *group) forward(ctx context.Context, entry string, changes []Change) ([]ChangeResult, error) {
 	g.c.m.forwarded.Inc(int64(len(changes)))
 	answers, err := g.c.cfg.Peers.Forward(ctx, entry, Batch{
-		Shard:   g.name,
-		Shards:  len(g.c.groups),
-		Until:   g.c.now().Add(forwardLife),
-		Changes: changes,
+		Shard:     g.name,
+		Shards:    len(g.c.groups),
+		ExpiresAt: g.c.now().Add(forwardLife),
+		Changes:   changes,
 	})
 	if err == nil && len(answers) != len(changes) {
 		err = errors.NotValidf("%d answers to %d changes", len(answers), len(changes))
@@ -173,7 +173,7 @@
 		sending, cancel := context.WithTimeout(ctx, g.c.cfg.ForwardTimeout)
 		answers, err := g.forward(sending, entry, []Change{{Kind: ChangeClaim, Hash: o.hash, Mark: o.mark}})
 		cancel()
-		if err == nil && answers[0].Kind != AnswerUnsure {
+		if err == nil && answers[0].Kind != ResultUncertain {
 			return o.forwardResult(answers[0], entry)
 		}
 		o.forwarded = true
@@ -186,13 +186,13 @@
 
 // forwardResult is the result of a certain answer. One that came after another
 // entry was asked in vain is as certain: the mark is the same.
-func (o *op) forwardResult(a Answer, entry string) (result, bool) {
+func (o *op) forwardResult(a ChangeResult, entry string) (result, bool) {
 	switch a.Kind {
-	case AnswerGranted:
+	case ResultGranted:
 		return result{verdict: granted}, true
-	case AnswerPrior:
+	case ResultPrior:
 		return result{verdict: refuse, prior: a.Prior}, true
-	case AnswerNotRun:
+	case ResultNotRun:
 		return result{verdict: refuse, err: errors.Annotatef(ErrNotRun, "step forward claim, peer %s", entry)}, true
 	}
 	return result{}, false
@@ -211,13 +211,13 @@
 	changes := make([]Change, 0, len(batch))
 	for _, o := range batch {
 		changes = append(changes, Change{Kind: ChangeSettle, Hash: o.hash, Mark: o.mark,
-			Outcome: o.outcome, Issued: o.issued, Withdraw: o.withdraw})
+			Outcome: o.outcome, Issued: o.issued, WithdrawMark: o.withdraw})
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), g.c.cfg.StoreTimeout)
 	defer cancel()
 	answers, err := g.forward(ctx, entry, changes)
 	markSent(batch)
-	unsettled := func(a Answer) bool { return a.Kind != AnswerSettled }
+	unsettled := func(a ChangeResult) bool { return a.Kind != ResultSettled }
 	if err != nil || slices.ContainsFunc(answers, unsettled) {
 		return false
 	}
@@ -230,19 +230,19 @@
 // ServeForward answers a peer's Forward: it brings the batch into the shard
 // with whatever else waits for it. It never takes a claim back on the sender's
 // behalf: the sender may have found it on record and be running the call.
-func (c *Claimer) ServeForward(ctx context.Context, b Batch) ([]Answer, error) {
+func (c *Claimer) ServeForward(ctx context.Context, b Batch) ([]ChangeResult, error) {
 	i := slices.IndexFunc(c.groups, func(g *group) bool { return g.name == b.Shard })
 	if i < 0 || b.Shards != len(c.groups) {
-		return nil, errors.Annotatef(ErrLayout, "step serve forwarded claims: shard %s of %d", b.Shard, b.Shards)
+		return nil, errors.Annotatef(ErrShardCountMismatch, "step serve forwarded claims: shard %s of %d", b.Shard, b.Shards)
 	}
 	ops := make([]*op, 0, len(b.Changes))
 	for _, change := range b.Changes {
-		ops = append(ops, servedOp(change, b.Until))
+		ops = append(ops, servedOp(change, b.ExpiresAt))
 	}
 	queued := !c.groups[i].inTrouble() && c.groups[i].add(ops...)
-	answers := make([]Answer, len(ops))
+	answers := make([]ChangeResult, len(ops))
 	for n, o := range ops {
-		answers[n] = Answer{Kind: AnswerRefused}
+		answers[n] = ChangeResult{Kind: ResultRefused}
 		if queued {
 			answers[n] = c.awaitServed(ctx, c.groups[i], o)
 		}
@@ -283,13 +283,13 @@
 	o := newOp(kind, change.Hash, change.Mark)
 	o.outcome = change.Outcome
 	o.issued = change.Issued
-	o.withdraw = change.Withdraw
+	o.withdraw = change.WithdrawMark
 	o.served = true
 	o.until = until
 	return o
 }
 
-func (c *Claimer) awaitServed(ctx context.Context, g *group, o *op) Answer {
+func (c *Claimer) awaitServed(ctx context.Context, g *group, o *op) ChangeResult {
 	select {
 	case r := <-o.answer:
 		return o.answerOf(c.unseal(ctx, o, r))
@@ -298,21 +298,21 @@
 	if r, ok := g.abandon(o); ok {
 		return o.answerOf(c.unseal(ctx, o, r))
 	}
-	return Answer{}
+	return ChangeResult{}
 }
 
-func (o *op) answerOf(r result) Answer {
+func (o *op) answerOf(r result) ChangeResult {
 	switch {
 	case errors.Is(r.err, errUnsure):
-		return Answer{}
+		return ChangeResult{}
 	case errors.Is(r.err, ErrNotRun):
-		return Answer{Kind: AnswerNotRun}
+		return ChangeResult{Kind: ResultNotRun}
 	case r.err != nil:
-		return Answer{Kind: AnswerRefused}
+		return ChangeResult{Kind: ResultRefused}
 	case o.kind == opSettle:
-		return Answer{Kind: AnswerSettled}
+		return ChangeResult{Kind: ResultSettled}
 	case r.verdict == refuse:
-		return Answer{Kind: AnswerPrior, Prior: r.prior}
+		return ChangeResult{Kind: ResultPrior, Prior: r.prior}
 	}
-	return Answer{Kind: AnswerGranted}
+	return ChangeResult{Kind: ResultGranted}
 }
--- a/claim/forward_test.go
+++ b/claim/forward_test.go
@@ -15,7 +15,7 @@
 func writerOf(t *testing.T, f *fleet, k Key) (writer, other *Claimer) {
 	t.Helper()
 	for _, c := range f.entries {
-		if err := c.Warm(t.Context()); err != nil {
+		if err := c.Preload(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		if name, elsewhere := c.group(k.hash()).writer(); elsewhere {
@@ -100,19 +100,19 @@
 		f := newFleet(t, 3, nil)
 		k := ownKey("k")
 		writer, other := writerOf(t, f, k)
-		late := Batch{Shard: other.group(k.hash()).name, Shards: DefaultShards, Until: time.Now().Add(forwardLife)}
+		late := Batch{Shard: other.group(k.hash()).name, Shards: DefaultShards, ExpiresAt: time.Now().Add(forwardLife)}
 		f.wire = nil
 		settle(t, other, claim(t, other, ownKey("warm")), done)
 		g := claim(t, other, k)
 		late.Changes = []Change{{Kind: ChangeClaim, Hash: k.hash(), Mark: g.token.mark}}
 		g.token.forwarded = true // as if a first message was still on its way
 		settle(t, other, g, Outcome{Kind: OutcomeNotRun})
-		if answers, err := writer.ServeForward(t.Context(), late); err != nil || answers[0].Kind != AnswerUnsure {
+		if answers, err := writer.ServeForward(t.Context(), late); err != nil || answers[0].Kind != ResultUncertain {
 			t.Errorf("withdrawn: %+v, %v", answers, err)
 		}
 		late.Changes[0].Mark = "another"
-		late.Until = time.Now().Add(-time.Second)
-		if answers, err := writer.ServeForward(t.Context(), late); err != nil || answers[0].Kind != AnswerUnsure {
+		late.ExpiresAt = time.Now().Add(-time.Second)
+		if answers, err := writer.ServeForward(t.Context(), late); err != nil || answers[0].Kind != ResultUncertain {
 			t.Errorf("too late: %+v, %v", answers, err)
 		}
 		if g := claim(t, other, k); !g.Fresh {
@@ -124,8 +124,8 @@
 func TestForwardOfOtherLayoutIsRefused(t *testing.T) {
 	f := newFleet(t, 1, nil)
 	for _, b := range []Batch{{Shard: "0000", Shards: DefaultShards + 1}, {Shard: "none", Shards: DefaultShards}} {
-		if _, err := f.entries[0].ServeForward(context.Background(), b); !errors.Is(err, ErrLayout) {
-			t.Errorf("%+v: %v, want ErrLayout", b, err)
+		if _, err := f.entries[0].ServeForward(context.Background(), b); !errors.Is(err, ErrShardCountMismatch) {
+			t.Errorf("%+v: %v, want ErrShardCountMismatch", b, err)
 		}
 	}
 }
@@ -145,7 +145,7 @@
 				go func() {
 					ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 					defer cancel()
-					if g, err := other.Claim(ctx, ownKey(strconv.Itoa(i)), Attempt{}); err == nil {
+					if g, err := other.Claim(ctx, ownKey(strconv.Itoa(i)), Request{}); err == nil {
 						t.Errorf("%s: %+v", name, g)
 					}
 				}()
--- a/claim/group.go
+++ b/claim/group.go
@@ -61,7 +61,7 @@
 	wake     chan struct{} // buffered by one: a claim or lookup came in
 	sealed   *sealedSet
 	failures int // owned by run
-	spread   int // owned by run: groups start spread times MinInterval apart
+	spread   int // owned by run: groups start spread times MinGroupInterval apart
 }
 
 func newGroup(c *Claimer, name string) *group {
@@ -72,7 +72,7 @@
 func (g *group) add(ops ...*op) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(g.pending)+len(ops) > g.c.cfg.MaxPending {
+	if len(g.pending)+len(ops) > g.c.cfg.MaxPendingOps {
 		return false
 	}
 	g.pending = append(g.pending, ops...)
@@ -126,8 +126,8 @@
 	default:
 	}
 	batch := g.pending
-	if len(batch) > g.c.cfg.MaxGroup {
-		batch = batch[:g.c.cfg.MaxGroup]
+	if len(batch) > g.c.cfg.MaxGroupOps {
+		batch = batch[:g.c.cfg.MaxGroupOps]
 	}
 	g.pending = append([]*op(nil), g.pending[len(batch):]...)
 	return batch
@@ -151,7 +151,7 @@
 	return slices.ContainsFunc(g.pending, func(o *op) bool { return o.kind != opSettle })
 }
 
-// run commits groups until nothing waits. Groups start at least MinInterval
+// run commits groups until nothing waits. Groups start at least MinGroupInterval
 // apart; after failures further apart, so as not to load a store that is down.
 func (g *group) run() {
 	for {
@@ -174,7 +174,7 @@
 }
 
 func (g *group) interval() time.Duration {
-	d := g.c.cfg.MinInterval * time.Duration(g.spread)
+	d := g.c.cfg.MinGroupInterval * time.Duration(g.spread)
 	d += time.Duration(rand.Int64N(int64(d)/jitterPart + 1))
 	for range g.failures {
 		d *= 2
@@ -200,7 +200,7 @@
 func (g *group) requeue(o *op) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(g.pending) >= 2*g.c.cfg.MaxPending {
+	if len(g.pending) >= 2*g.c.cfg.MaxPendingOps {
 		g.c.m.settlementsDropped.Inc(1)
 		return
 	}
--- a/claim/harness_test.go
+++ b/claim/harness_test.go
@@ -93,7 +93,7 @@
 // hop is one way between two entries.
 const hop = time.Millisecond
 
-func (f *fleet) Writers() []string {
+func (f *fleet) CandidateWriters() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var names []string
@@ -103,7 +103,7 @@
 	return names
 }
 
-func (f *fleet) Forward(ctx context.Context, entry string, b Batch) ([]Answer, error) {
+func (f *fleet) Forward(ctx context.Context, entry string, b Batch) ([]ChangeResult, error) {
 	c, err := f.named(entry)
 	if err != nil {
 		return nil, err
@@ -157,7 +157,7 @@
 // claim asserts a grant and returns it.
 func claim(t *testing.T, c *Claimer, k Key) Grant {
 	t.Helper()
-	g, err := c.Claim(t.Context(), k, Attempt{ID: "r"})
+	g, err := c.Claim(t.Context(), k, Request{ID: "r"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -171,4 +171,4 @@
 	}
 }
 
-var done = Outcome{Kind: OutcomeDone, Record: Record{Status: 200, Answer: []byte("confirmed")}}
+var done = Outcome{Kind: OutcomeDone, Record: Record{Status: 200, Response: []byte("confirmed")}}
--- a/claim/layout.go
+++ b/claim/layout.go
@@ -10,8 +10,8 @@
 	"github.com/briarturn/briarturn/objectapi"
 )
 
-// ErrLayout: the number of shards set here is not the one on record.
-const ErrLayout = errors.ConstError("claim shards set differently in another entry")
+// ErrShardCountMismatch: the number of shards set here is not the one on record.
+const ErrShardCountMismatch = errors.ConstError("claim shards set differently in another entry")
 
 // layoutName is the object that records the number of shards.
 const layoutName = "layout"
@@ -46,7 +46,7 @@
 		return errors.Annotate(err, "step decode claim layout")
 	}
 	if v.Shards != l.shards {
-		return errors.Annotatef(ErrLayout, "step check claim layout: %d here, %d on record", l.shards, v.Shards)
+		return errors.Annotatef(ErrShardCountMismatch, "step check claim layout: %d here, %d on record", l.shards, v.Shards)
 	}
 	l.agreed.Store(true)
 	return nil
--- a/claim/measure_test.go
+++ b/claim/measure_test.go
@@ -87,7 +87,7 @@
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	g, err := at.Claim(ctx, k, Attempt{First: true})
+	g, err := at.Claim(ctx, k, Request{FirstSend: true})
 	l.mu.Lock()
 	l.waits = append(l.waits, time.Since(began))
 	if err != nil || !g.Fresh {
@@ -99,7 +99,7 @@
 	l.runs[k]++
 	l.mu.Unlock()
 	time.Sleep(serviceTime)
-	_ = at.Settle(ctx, g, Outcome{Kind: OutcomeDone, Record: Record{Status: 200, Answer: []byte(`{"ok":true}`)}})
+	_ = at.Settle(ctx, g, Outcome{Kind: OutcomeDone, Record: Record{Status: 200, Response: []byte(`{"ok":true}`)}})
 }
 
 func (l *load) counter(name string) int64 {
@@ -279,7 +279,7 @@
 	var mu sync.Mutex
 	for k := range l.runs {
 		calls.Go(func() {
-			g, err := at.Claim(context.Background(), k, Attempt{})
+			g, err := at.Claim(context.Background(), k, Request{})
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
@@ -323,7 +323,7 @@
 
 func (l *load) warm(t *testing.T, entries ...*Claimer) {
 	for _, c := range entries {
-		if err := c.Warm(t.Context()); err != nil {
+		if err := c.Preload(t.Context()); err != nil {
 			t.Error(err)
 		}
 	}
@@ -399,8 +399,8 @@
 	prefix string
 }
 
-func (r regional) Writers() []string {
-	return slices.DeleteFunc(r.fleet.Writers(), func(n string) bool { return !strings.HasPrefix(n, r.prefix) })
+func (r regional) CandidateWriters() []string {
+	return slices.DeleteFunc(r.fleet.CandidateWriters(), func(n string) bool { return !strings.HasPrefix(n, r.prefix) })
 }
 
 // TestMeasureRegions prints what it costs that regions share a store, each with
--- a/claim/plan.go
+++ b/claim/plan.go
@@ -67,7 +67,7 @@
 func (g *group) planLookup(p *plan, s *shard, o *op, now time.Time) {
 	prior := Prior{State: Unknown}
 	if e, ok := s.Claims[o.hash]; ok {
-		prior = e.prior(now, g.c.cfg.RunLimit)
+		prior = e.prior(now, g.c.cfg.MaxRunTime)
 	}
 	name, _ := p.view.find(o.hash)
 	p.results[o] = result{verdict: refuse, prior: prior, sealed: name}
@@ -95,7 +95,7 @@
 		p.granted = append(p.granted, o)
 		p.hashes[o.hash] = true
 	default:
-		p.results[o] = result{verdict: refuse, prior: before.prior(now, g.c.cfg.RunLimit)}
+		p.results[o] = result{verdict: refuse, prior: before.prior(now, g.c.cfg.MaxRunTime)}
 		if p.hashes[o.hash] {
 			p.waiting = append(p.waiting, o)
 		}
--- a/claim/random_test.go
+++ b/claim/random_test.go
@@ -83,7 +83,7 @@
 	before := r.ranSoFar(k)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(1+rnd.IntN(2_000))*time.Millisecond)
 	defer cancel()
-	g, err := c.Claim(ctx, k, Attempt{First: first})
+	g, err := c.Claim(ctx, k, Request{FirstSend: first})
 	r.count(k, before, g, err)
 	if err != nil || !g.Fresh || r.isDead(c) {
 		return
@@ -118,7 +118,7 @@
 			continue
 		}
 		r.free++
-		g, err := r.live[0].Claim(t.Context(), k, Attempt{})
+		g, err := r.live[0].Claim(t.Context(), k, Request{})
 		if err != nil || !g.Fresh {
 			r.bad = append(r.bad, fmt.Sprintf("%v never ran and is not free: %+v, %v", k, g.Prior, err))
 		}
@@ -137,7 +137,7 @@
 	return w.rnd.IntN(n)
 }
 
-func (w *badWire) forward(ctx context.Context, c *Claimer, b Batch) ([]Answer, error) {
+func (w *badWire) forward(ctx context.Context, c *Claimer, b Batch) ([]ChangeResult, error) {
 	switch w.draw(6) {
 	case 0:
 		return nil, errors.New("connection reset before it was sent")
@@ -229,7 +229,7 @@
 }
 
 // sealOften lets shards seal their claims after every few.
-func sealOften(c *Config) { c.SealBytes = 400 }
+func sealOften(c *Config) { c.SealThreshold = 400 }
 
 func runSeed(t *testing.T, seed uint64) tally {
 	var total tally
--- a/claim/rules.go
+++ b/claim/rules.go
@@ -28,7 +28,7 @@
 		p.State = Unknown
 	}
 	if e.State == Done {
-		p.Record = Record{Status: e.Status, Answer: e.Answer, Truncated: e.Truncated}
+		p.Record = Record{Status: e.Status, Response: e.Answer, Truncated: e.Truncated}
 	}
 	return p
 }
@@ -144,7 +144,7 @@
 		delete(s.Claims, hash)
 	case OutcomeDone:
 		s.Claims[hash] = entry{Mark: mark, State: Done, At: now.Unix(),
-			Status: o.Record.Status, Answer: o.Record.Answer, Truncated: o.Record.Truncated}
+			Status: o.Record.Status, Answer: o.Record.Response, Truncated: o.Record.Truncated}
 	default:
 		s.Claims[hash] = entry{Mark: mark, State: Unknown, At: now.Unix()}
 	}
--- a/claim/sealed.go
+++ b/claim/sealed.go
@@ -70,7 +70,7 @@
 // claims and add another reference.
 func (g *group) sealDue(s *shard, bytes int) bool {
 	refs := len(s.Sealed) * refBytes
-	return bytes-refs > max(g.c.cfg.SealBytes, refs)
+	return bytes-refs > max(g.c.cfg.SealThreshold, refs)
 }
 
 // seal moves settled claims of a shard that is due into an object of their own,
@@ -79,7 +79,7 @@
 // plan.orphan tells to delete it.
 func (g *group) seal(ctx context.Context, s *shard, p *plan) error {
 	now := g.c.now()
-	settled := s.split(now, g.c.cfg.RunLimit)
+	settled := s.split(now, g.c.cfg.MaxRunTime)
 	if len(settled.Claims) < len(s.Claims) {
 		maps.Copy(s.Claims, settled.Claims)
 		return nil
--- a/claim/sealed_test.go
+++ b/claim/sealed_test.go
@@ -23,7 +23,7 @@
 		c := f.entries[0]
 		granted := 0
 		for i := range 100 {
-			g, err := c.Claim(t.Context(), ownKey(string(rune('A'+i))), Attempt{})
+			g, err := c.Claim(t.Context(), ownKey(string(rune('A'+i))), Request{})
 			if errors.Is(err, ErrNotRun) {
 				continue
 			}
@@ -58,7 +58,7 @@
 // started since. Cause: a claim looked for in the shard only.
 func TestSealedClaimIsRecognised(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		small := func(c *Config) { c.Shards = 1; c.SealBytes = 500 }
+		small := func(c *Config) { c.Shards = 1; c.SealThreshold = 500 }
 		f := newFleet(t, 1, small)
 		const calls = 30
 		for i := range calls {
@@ -68,7 +68,7 @@
 			t.Fatalf("%d sealed objects, want some", sealed)
 		}
 		late := f.start(t, "late", small)
-		if err := late.Warm(t.Context()); err != nil {
+		if err := late.Preload(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		for i := range calls {
@@ -91,7 +91,7 @@
 func TestSealedObjectsGrowWithTheirNumber(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		const calls, sealBytes = 600, 300
-		f := newFleet(t, 1, func(c *Config) { c.Shards = 1; c.SealBytes = sealBytes })
+		f := newFleet(t, 1, func(c *Config) { c.Shards = 1; c.SealThreshold = sealBytes })
 		for i := range calls {
 			settle(t, f.entries[0], claim(t, f.entries[0], ownKey(string(rune('A'+i)))), done)
 		}
@@ -134,7 +134,7 @@
 func TestFoldedClaimsAreRecognised(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		const calls, fold = 400, 8
-		small := func(c *Config) { c.Shards = 1; c.SealBytes = 300; c.foldRefs = fold }
+		small := func(c *Config) { c.Shards = 1; c.SealThreshold = 300; c.foldRefs = fold }
 		f := newFleet(t, 1, small)
 		for i := range calls {
 			settle(t, f.entries[0], claim(t, f.entries[0], ownKey(strconv.Itoa(i))), done)
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -31,12 +31,12 @@
 		return claim.Record{Status: a.status, Truncated: true}
 	}
 	head := fmt.Sprintf("%016x %s\n", fingerprint, a.contentType)
-	return claim.Record{Status: a.status, Answer: append([]byte(head), a.body...)}
+	return claim.Record{Status: a.status, Response: append([]byte(head), a.body...)}
 }
 
 // recordedIn reads a claim's record. ok is false if its answer isn't kept.
 func recordedIn(r claim.Record) (a recorded, fingerprint uint64, ok bool) {
-	head, body, found := bytes.Cut(r.Answer, []byte("\n"))
+	head, body, found := bytes.Cut(r.Response, []byte("\n"))
 	if r.Truncated || !found {
 		return recorded{}, 0, false
 	}
@@ -64,7 +64,7 @@
 	if c.e.cfg.Claimer == nil {
 		return grant, false, c.noClaim(claim.ErrNotRun)
 	}
-	grant, err := c.e.cfg.Claimer.Claim(ctx, c.claimKey(), claim.Attempt{ID: c.spec.ID, First: c.spec.FirstSend})
+	grant, err := c.e.cfg.Claimer.Claim(ctx, c.claimKey(), claim.Request{ID: c.spec.ID, FirstSend: c.spec.FirstSend})
 	if err != nil {
 		return grant, false, c.noClaim(err)
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -61,7 +61,7 @@
 // Claimer gives at-most-once execution to non-idempotent requests.
 // *claim.Claimer implements it.
 type Claimer interface {
-	Claim(ctx context.Context, key claim.Key, attempt claim.Attempt) (claim.Grant, error)
+	Claim(ctx context.Context, key claim.Key, attempt claim.Request) (claim.Grant, error)
 	Settle(ctx context.Context, grant claim.Grant, outcome claim.Outcome) error
 	// Issue returns a key of the workspace whose claims need no store.
 	Issue(workspace string) string
--- a/internal/capacity/compute.go
+++ b/internal/capacity/compute.go
@@ -223,7 +223,7 @@
 	t.add(Figure{"memory of streams", toAgent + toCaller, "B", limitMemory, "", "sum; data path, held against the limit all the same", "wire, net/http"})
 	t.add(Figure{"prompts kept for a retry", bodies, "B", 0, "", "streams × mean prompt of 8,920 tokens × 4 B; assumed, not measured; an upper bound, all kept to the end", "entry"})
 	calls := m.claims(lineClaimReads, m.KeyedShare) + m.claims(lineClaimWrites, m.KeyedShare)
-	t.add(Figure{"store bytes of claims, at most", (calls*shardBytes() + m.sealedReads()*claim.DefaultSealBytes) / float64(m.Entries), "B/s", 0, "", "(reads + writes) × 24 KiB and sealed reads × 16 KiB, / entries; from the bounds, not measured", "claim.Claimer"})
+	t.add(Figure{"store bytes of claims, at most", (calls*shardBytes() + m.sealedReads()*claim.DefaultSealThreshold) / float64(m.Entries), "B/s", 0, "", "(reads + writes) × 24 KiB and sealed reads × 16 KiB, / entries; from the bounds, not measured", "claim.Claimer"})
 	t.add(Figure{"CPU of relaying", 100 * chunks * m.slope(lineChunkCPU) / nanos, "%", 0, "", "tokens / entries × stream.chunk.cpu; a chunk a token, both ends of drpc, without the caller's side", "wire, entry"})
 	return t
 }
@@ -314,12 +314,12 @@
 func (m *model) sealedReads() float64 {
 	filled := m.Requests * m.KeyedShare * m.slope(lineClaimBytes)
 	keepers := min(claimKeepers, m.region)
-	return filled / claim.DefaultSealBytes * keepers * float64(m.Regions) * 2
+	return filled / claim.DefaultSealThreshold * keepers * float64(m.Regions) * 2
 }
 
 // shardBytes is about what one call for a shard carries at most: the claims not
 // sealed yet, and half as much again for references.
-func shardBytes() float64 { return 1.5 * claim.DefaultSealBytes }
+func shardBytes() float64 { return 1.5 * claim.DefaultSealThreshold }
 
 func (m *model) storeWrites() Table {
 	t := Table{Title: "Platform's object API: writes"}
--- a/internal/capacity/measure_store.go
+++ b/internal/capacity/measure_store.go
@@ -183,7 +183,7 @@
 		name := fmt.Sprintf("entry-%d", i)
 		c, err := claim.New(claim.Config{Store: store, Entry: name, Metrics: metrics.NewRegistry(), Peers: region})
 		if err == nil {
-			err = c.Warm(ctx)
+			err = c.Preload(ctx)
 		}
 		if err != nil {
 			return calls{}, errors.Trace(err)
@@ -217,20 +217,20 @@
 	r.claimers[name] = c
 }
 
-// Writers implements claim.Peers.
-func (r *claimRegion) Writers() []string { return r.names }
+// CandidateWriters implements claim.PeerClient.
+func (r *claimRegion) CandidateWriters() []string { return r.names }
 
-// Forward implements claim.Peers.
-func (r *claimRegion) Forward(ctx context.Context, entry string, b claim.Batch) ([]claim.Answer, error) {
+// Forward implements claim.PeerClient.
+func (r *claimRegion) Forward(ctx context.Context, entry string, b claim.Batch) ([]claim.ChangeResult, error) {
 	return r.claimers[entry].ServeForward(ctx, b)
 }
 
-// ClaimIssued implements claim.Peers. All keys that are measured are callers' own.
+// ClaimIssued implements claim.PeerClient. All keys that are measured are callers' own.
 func (r *claimRegion) ClaimIssued(context.Context, claim.Issuer, claim.Key, string) (claim.Grant, error) {
 	return claim.Grant{}, claim.ErrBadKey
 }
 
-// SettleIssued implements claim.Peers.
+// SettleIssued implements claim.PeerClient.
 func (r *claimRegion) SettleIssued(context.Context, claim.Issuer, claim.Key, string, claim.Outcome) error {
 	return claim.ErrBadKey
 }
@@ -285,7 +285,7 @@
 }
 
 func confirmOne(ctx context.Context, c *claim.Claimer, key string) error {
-	g, err := c.Claim(ctx, claim.Key{Workspace: "workspace-1", IdempotencyKey: key}, claim.Attempt{First: true})
+	g, err := c.Claim(ctx, claim.Key{Workspace: "workspace-1", IdempotencyKey: key}, claim.Request{FirstSend: true})
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -294,6 +294,6 @@
 	}
 	return errors.Trace(c.Settle(ctx, g, claim.Outcome{
 		Kind:   claim.OutcomeDone,
-		Record: claim.Record{Status: 200, Answer: []byte(`{"ok":true}`)},
+		Record: claim.Record{Status: 200, Response: []byte(`{"ok":true}`)},
 	}))
 }
--- a/internal/node/claim_forward.go
+++ b/internal/node/claim_forward.go
@@ -11,8 +11,8 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// Writers implements claim.Peers: the entries of this region that take new work.
-func (p claimPeers) Writers() []string {
+// CandidateWriters implements claim.PeerClient: the entries of this region that take new work.
+func (p claimPeers) CandidateWriters() []string {
 	var names []string
 	for _, peer := range p.peers() {
 		if peer.GetRegion() == p.node.self.GetRegion() && !peer.GetDraining() {
@@ -22,8 +22,8 @@
 	return names
 }
 
-// Forward implements claim.Peers.
-func (p claimPeers) Forward(ctx context.Context, entry string, b claim.Batch) ([]claim.Answer, error) {
+// Forward implements claim.PeerClient.
+func (p claimPeers) Forward(ctx context.Context, entry string, b claim.Batch) ([]claim.ChangeResult, error) {
 	addr, err := p.address(entry)
 	if err != nil {
 		return nil, err
@@ -32,13 +32,13 @@
 	if err != nil {
 		return nil, errors.Annotatef(err, "step forward claims, peer %s", entry)
 	}
-	answers := make([]claim.Answer, 0, len(out.GetResults()))
+	answers := make([]claim.ChangeResult, 0, len(out.GetResults()))
 	for _, r := range out.GetResults() {
-		answers = append(answers, claim.Answer{
-			Kind: claim.AnswerKind(r.GetKind()),
+		answers = append(answers, claim.ChangeResult{
+			Kind: claim.ChangeResultKind(r.GetKind()),
 			Prior: claim.Prior{
 				State:  claim.State(r.GetState()),
-				Record: claim.Record{Status: int(r.GetStatus()), Answer: r.GetAnswer(), Truncated: r.GetTruncated()},
+				Record: claim.Record{Status: int(r.GetStatus()), Response: r.GetAnswer(), Truncated: r.GetTruncated()},
 			},
 		})
 	}
@@ -58,7 +58,7 @@
 			Kind:      uint32(a.Kind),
 			State:     uint32(a.Prior.State),
 			Status:    uint32(record.Status),
-			Answer:    record.Answer,
+			Answer:    record.Response,
 			Truncated: record.Truncated,
 		})
 	}
@@ -69,7 +69,7 @@
 	out := &wirepb.ClaimBatch{
 		Shard:       b.Shard,
 		Shards:      uint32(b.Shards),
-		UntilUnixMs: uint64(b.Until.UnixMilli()),
+		UntilUnixMs: uint64(b.ExpiresAt.UnixMilli()),
 	}
 	for _, c := range b.Changes {
 		out.Changes = append(out.Changes, &wirepb.ClaimChange{
@@ -78,10 +78,10 @@
 			Mark:      c.Mark,
 			Outcome:   uint32(c.Outcome.Kind),
 			Status:    uint32(c.Outcome.Record.Status),
-			Answer:    c.Outcome.Record.Answer,
+			Answer:    c.Outcome.Record.Response,
 			Truncated: c.Outcome.Record.Truncated,
 			Issued:    c.Issued,
-			Withdraw:  c.Withdraw,
+			Withdraw:  c.WithdrawMark,
 		})
 	}
 	return out
@@ -89,9 +89,9 @@
 
 func claimsIn(in *wirepb.ClaimBatch) claim.Batch {
 	b := claim.Batch{
-		Shard:  in.GetShard(),
-		Shards: int(in.GetShards()),
-		Until:  time.UnixMilli(int64(in.GetUntilUnixMs())),
+		Shard:     in.GetShard(),
+		Shards:    int(in.GetShards()),
+		ExpiresAt: time.UnixMilli(int64(in.GetUntilUnixMs())),
 	}
 	for _, c := range in.GetChanges() {
 		b.Changes = append(b.Changes, claim.Change{
@@ -100,10 +100,10 @@
 			Mark: c.GetMark(),
 			Outcome: claim.Outcome{
 				Kind:   claim.OutcomeKind(c.GetOutcome()),
-				Record: claim.Record{Status: int(c.GetStatus()), Answer: c.GetAnswer(), Truncated: c.GetTruncated()},
+				Record: claim.Record{Status: int(c.GetStatus()), Response: c.GetAnswer(), Truncated: c.GetTruncated()},
 			},
-			Issued:   c.GetIssued(),
-			Withdraw: c.GetWithdraw(),
+			Issued:       c.GetIssued(),
+			WithdrawMark: c.GetWithdraw(),
 		})
 	}
 	return b
--- a/internal/node/claim_peers.go
+++ b/internal/node/claim_peers.go
@@ -12,7 +12,7 @@
 // claimPeers carries claims of issued keys to the entries that issued them.
 type claimPeers struct{ node *Entry }
 
-// ClaimIssued implements claim.Peers.
+// ClaimIssued implements claim.PeerClient.
 func (p claimPeers) ClaimIssued(ctx context.Context, issuer claim.Issuer, key claim.Key, mark string) (claim.Grant, error) {
 	addr, err := p.address(issuer.Entry)
 	if err != nil {
@@ -27,11 +27,11 @@
 	}
 	return claim.Grant{Fresh: answer.GetFresh(), Prior: claim.Prior{
 		State:  claim.State(answer.GetState()),
-		Record: claim.Record{Status: int(answer.GetStatus()), Answer: answer.GetAnswer(), Truncated: answer.GetTruncated()},
+		Record: claim.Record{Status: int(answer.GetStatus()), Response: answer.GetAnswer(), Truncated: answer.GetTruncated()},
 	}}, nil
 }
 
-// SettleIssued implements claim.Peers.
+// SettleIssued implements claim.PeerClient.
 func (p claimPeers) SettleIssued(ctx context.Context, issuer claim.Issuer, key claim.Key, mark string, o claim.Outcome) error {
 	addr, err := p.address(issuer.Entry)
 	if err != nil {
@@ -40,7 +40,7 @@
 	call := claimCall(issuer, key, mark)
 	call.Outcome = uint32(o.Kind)
 	call.Status = uint32(o.Record.Status)
-	call.Answer = o.Record.Answer
+	call.Answer = o.Record.Response
 	call.Truncated = o.Record.Truncated
 	_, err = p.node.dialer.SettleIssued(ctx, addr, call)
 	return errors.Annotatef(err, "step settle at issuer, peer %s", issuer.Entry)
@@ -79,7 +79,7 @@
 		Fresh:     grant.Fresh,
 		State:     uint32(grant.Prior.State),
 		Status:    uint32(record.Status),
-		Answer:    record.Answer,
+		Answer:    record.Response,
 		Truncated: record.Truncated,
 	}, nil
 }
@@ -88,7 +88,7 @@
 func (s *entryService) SettleIssued(_ context.Context, in *wirepb.ClaimCall) (*wirepb.ClaimAnswer, error) {
 	outcome := claim.Outcome{
 		Kind:   claim.OutcomeKind(in.GetOutcome()),
-		Record: claim.Record{Status: int(in.GetStatus()), Answer: in.GetAnswer(), Truncated: in.GetTruncated()},
+		Record: claim.Record{Status: int(in.GetStatus()), Response: in.GetAnswer(), Truncated: in.GetTruncated()},
 	}
 	return &wirepb.ClaimAnswer{}, errors.Trace(s.node.claimer.ServeSettle(keyOf(in), in.GetMark(), outcome))
 }
--- a/internal/node/entry_upkeep.go
+++ b/internal/node/entry_upkeep.go
@@ -57,7 +57,7 @@
 func (n *Entry) warmClaims(ctx context.Context) error {
 	for {
 		wait := warmPeriod
-		if err := n.claimer.Warm(ctx); err != nil {
+		if err := n.claimer.Preload(ctx); err != nil {
 			wait = warmRetry
 		}
 		n.claimsTried.Store(true)
