--- a/membership/ages.go
+++ b/membership/ages.go
@@ -10,82 +10,86 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// The ages of a digest: one byte for each entry of the region, in the order of
-// their keys. A byte each, for all of them, costs less than naming a few, and
-// spreads signs of life in a few rounds. They refer to the set of names, so
-// entries that know different sets for a moment skip them.
+// A digest carries the age of the last sign of life of each entry of the region,
+// one byte per entry, in the order of their keys. Sending one byte for every
+// entry costs less than naming a few entries, and spreads signs of life within a
+// few rounds. The ages refer to a set of entries, identified by its hash.
+// Entries that have different sets skip each other's ages.
 //
-// An age is relative, so it can't bring a dead entry back to life, however
-// late it arrives, by more than its time on the way. That's why a sign of life
-// needs no incarnation to overrule a suspicion, and why an entry that wakes
-// from a pause needs no new one: its next digest is fresher than any claim.
+// An age is relative. However late it arrives, it can make a dead entry look
+// alive only for as long as it was in transit. So a sign of life overrules a
+// suspicion without a new incarnation, and an entry that resumes after a pause
+// keeps its incarnation: its next digest is newer than any suspicion.
 const (
-	ageUnit   = 500 * time.Millisecond
-	ageMissed = 255
+	// ageUnit is the resolution of an age.
+	ageUnit = 500 * time.Millisecond
+	// ageSuspect marks an entry that the sender suspects.
+	ageSuspect = 255
 )
 
-// ages returns the hash of the names and the ages. Where the names don't fit
-// it returns none.
-func (o *Observer) ages(now time.Time) (uint64, []byte) {
-	o.orderNames()
-	list := make([]byte, 0, len(o.peers.names))
-	for _, key := range o.peers.names {
-		list = append(list, o.ageOf(key, now))
+// encodeAges returns the hash of the member keys and the age of each member.
+func (o *Observer) encodeAges(now time.Time) (uint64, []byte) {
+	o.updateMemberKeys()
+	list := make([]byte, 0, len(o.peers.memberKeys))
+	for _, key := range o.peers.memberKeys {
+		list = append(list, o.encodeAge(key, now))
 	}
-	return o.peers.namesHash, list
+	return o.peers.memberKeysHash, list
 }
 
-// ageOf returns the byte for one entry.
-func (o *Observer) ageOf(key uint64, now time.Time) byte {
+// encodeAge returns the age byte of one entry.
+func (o *Observer) encodeAge(key uint64, now time.Time) byte {
 	if key == o.key {
 		return 0
 	}
 	p := o.peers.all[key]
 	if p.suspect {
-		return ageMissed
+		return ageSuspect
 	}
-	return byte(min(max(now.Sub(p.heardAt), 0)/ageUnit, ageMissed-1))
+	return byte(min(max(now.Sub(p.lastSeen), 0)/ageUnit, ageSuspect-1))
 }
 
-// orderNames sorts the keys of the region's entries and hashes them.
-func (o *Observer) orderNames() {
-	if o.peers.names != nil {
+// updateMemberKeys sorts the keys of the region's entries, this one included,
+// and hashes them.
+func (o *Observer) updateMemberKeys() {
+	if o.peers.memberKeys != nil {
 		return
 	}
-	o.peers.names = append(slices.Clone(o.peers.keys), o.key)
-	slices.Sort(o.peers.names)
+	o.peers.memberKeys = append(slices.Clone(o.peers.keys), o.key)
+	slices.Sort(o.peers.memberKeys)
 	h := xxhash.New()
-	for _, key := range o.peers.names {
+	for _, key := range o.peers.memberKeys {
 		var buf [8]byte
 		binary.BigEndian.PutUint64(buf[:], key)
 		_, _ = h.Write(buf[:])
 	}
-	o.peers.namesHash = h.Sum64()
+	o.peers.memberKeysHash = h.Sum64()
 }
 
-// handleAges takes what a peer knows of the others, and of this one.
+// handleAges applies the ages that a peer sent about the other entries and this
+// one.
 func (o *Observer) handleAges(now time.Time, d *wirepb.Digest) {
-	o.orderNames()
-	if d.GetEntries() != o.peers.namesHash || len(d.GetAges()) != len(o.peers.names) {
+	o.updateMemberKeys()
+	if d.GetEntries() != o.peers.memberKeysHash || len(d.GetAges()) != len(o.peers.memberKeys) {
 		return
 	}
-	// judging an age may mark the set as changed, which drops names
-	for i, key := range slices.Clone(o.peers.names) {
+	// handleAge may invalidate the set, which clears memberKeys
+	for i, key := range slices.Clone(o.peers.memberKeys) {
 		o.handleAge(now, d.GetEntry(), key, d.GetAges()[i])
 	}
 }
 
-func (o *Observer) handleAge(now time.Time, by, key uint64, age byte) {
+func (o *Observer) handleAge(now time.Time, sender, key uint64, age byte) {
 	p := o.peers.all[key]
 	switch {
 	case key == o.key:
-		if age == ageMissed {
-			o.missed.Inc(1)
+		if age == ageSuspect {
+			o.selfMissed.Inc(1)
 		}
-	case age == ageMissed:
-		p.claims[by] = now
+	case age == ageSuspect:
+		p.suspectedBy[sender] = now
 	default:
-		// rounded up, so that an age can't shrink on its way round
-		o.heard(now, key, p.incarnation, time.Duration(age+1)*ageUnit)
+		// rounded up, so that relaying never makes an age smaller
+		o.recordPeerAlive(now, key, p.incarnation, time.Duration(age+1)*ageUnit)
 	}
 }
--- a/membership/announce.go
+++ b/membership/announce.go
@@ -10,99 +10,104 @@
 	"golang.org/x/time/rate"
 )
 
-// Announcing configuration. An agent is told of a version that concerns its
-// pool without being asked: to wait for its next report would take up to a
-// report period, some 7 s in a large region.
+// An entry announces a configuration version to the agents whose pool it
+// concerns. Without announcements an agent would learn of it from the answer to
+// its next report, up to a report period later, about 7 s in a large region.
 const (
-	// announceSpread is the time over which the agents of a pool are told, so
-	// that they don't pull all at once.
+	// announceSpread is the time over which announcements to the agents of a
+	// pool are spread, so that they don't all pull at once.
 	announceSpread = time.Second
-	// announceRepeat is the pause before an agent that doesn't confirm is told
-	// again; the datagram, or the pull that it asks for, may have been lost.
-	announceRepeat = 1500 * time.Millisecond
-	// announceTries is how often an agent is told of changes before only the
-	// answers to its reports do.
-	announceTries = 5
-	// pullCost is what an announcement and the pull that follows cost, bytes
-	// in and out with all headers; TestPullCost holds it against real messages.
-	pullCost = 1300
-	// announceBurst is how many announcements may be sent at once, beyond what
-	// the spare share of the budget pays for: two for each agent of an entry
-	// in a large region. Past it, only answers to reports tell of a version.
+	// announceRetryInterval is the time after which an announcement to an agent
+	// that hasn't confirmed the version is repeated. The datagram, or the pull
+	// that it triggers, may have been lost.
+	announceRetryInterval = 1500 * time.Millisecond
+	// maxAnnounceTries is the number of announcements sent to an agent. After
+	// them only the answers to its reports carry the version.
+	maxAnnounceTries = 5
+	// announceCost is the cost of an announcement and the pull that follows, in
+	// bytes in and out with all headers. TestPullCost checks it against real
+	// messages.
+	announceCost = 1300
+	// announceBurst is the number of announcements that may be sent at once in
+	// excess of spareShare of the budget: two for each agent of an entry in a
+	// large region. Beyond it only the answers to reports carry the version.
 	announceBurst = 120
 )
 
-// configState is what an entry tells of its declared state.
+// configState is the declared configuration that an entry announces.
 type configState struct {
-	revision uint64
-	ofPool   func(pool string) uint64
-	changed  bool
-	pending  []*announcement
-	spare    *rate.Limiter
+	revision        uint64
+	poolVersion     func(pool string) uint64
+	changed         bool
+	pending         []*announcement
+	announceLimiter *rate.Limiter
 }
 
-// announcement is a version that an agent is yet to confirm.
+// announcement is a version that an agent hasn't confirmed yet.
 type announcement struct {
-	agent uint64 // key
-	at    time.Time
-	tries int
+	agent     uint64 // key
+	dueAt     time.Time
+	triesLeft int
 }
 
 func newConfigState(budget float64) configState {
-	return configState{spare: rate.NewLimiter(rate.Limit(budget*spareShare/pullCost), announceBurst)}
+	return configState{announceLimiter: rate.NewLimiter(rate.Limit(budget*spareShare/announceCost), announceBurst)}
 }
 
-// of returns the newest version that concerns an agent, 0 if none.
-func (c *configState) of(a *agent) uint64 {
-	if c.ofPool == nil {
+// versionFor returns the newest version that concerns an agent, or 0 if there is
+// none.
+func (c *configState) versionFor(a *agent) uint64 {
+	if c.poolVersion == nil {
 		return 0
 	}
-	return c.ofPool(a.pool)
+	return c.poolVersion(a.pool)
 }
 
-// SetConfig tells the newest version of a declared object in force here, and how
-// to find what an agent of a pool must be complete through. Entries compare the
-// former; agents are only told of what concerns their pool.
-func (o *Observer) SetConfig(revision uint64, ofPool func(pool string) uint64) {
+// SetConfig sets the newest version of a declared object in force at this entry,
+// and the function that returns the version that an agent of a pool must have.
+// Entries compare the former. Agents are notified only of versions that concern
+// their pool.
+func (o *Observer) SetConfig(revision uint64, poolVersion func(pool string) uint64) {
 	if revision < o.config.revision {
 		return
 	}
 	o.config.revision = revision
-	o.config.ofPool = ofPool
+	o.config.poolVersion = poolVersion
 	o.config.changed = true
 }
 
-// announceConfig tells agents of versions that they don't have. One that is
-// being told already isn't told more often, however many changes there are.
-func (o *Observer) announceConfig(now time.Time, out *Effects) {
+// sendAnnouncements announces versions to the agents that don't have them.
+// Further changes don't add announcements to an agent that already has one
+// pending.
+func (o *Observer) sendAnnouncements(now time.Time, out *Effects) {
 	if o.config.changed {
 		o.config.changed = false
-		o.beginAnnouncements(now)
+		o.queueAnnouncements(now)
 	}
 	o.config.pending = slices.DeleteFunc(o.config.pending, func(p *announcement) bool {
 		return o.announce(now, p, out)
 	})
 }
 
-func (o *Observer) beginAnnouncements(now time.Time) {
-	known := map[uint64]*announcement{}
+func (o *Observer) queueAnnouncements(now time.Time) {
+	pending := map[uint64]*announcement{}
 	for _, p := range o.config.pending {
-		known[p.agent] = p
+		pending[p.agent] = p
 	}
 	for _, key := range slices.Sorted(maps.Keys(o.agents)) {
 		switch a := o.agents[key]; {
-		case !a.direct || o.config.of(a) <= a.config:
-		case known[key] != nil:
-			known[key].tries = announceTries
+		case !a.direct || o.config.versionFor(a) <= a.config:
+		case pending[key] != nil:
+			pending[key].triesLeft = maxAnnounceTries
 		default:
 			at := now.Add(o.announceDelay(key))
-			o.config.pending = append(o.config.pending, &announcement{agent: key, at: at, tries: announceTries})
+			o.config.pending = append(o.config.pending, &announcement{agent: key, dueAt: at, triesLeft: maxAnnounceTries})
 		}
 	}
 }
 
-// announceDelay is a part of announceSpread that differs between the agents of
-// a pool, between the homes of an agent and from change to change.
+// announceDelay returns a part of announceSpread. It differs between the agents
+// of a pool, between the homes of an agent and from change to change.
 func (o *Observer) announceDelay(agent uint64) time.Duration {
 	buf := binary.BigEndian.AppendUint64(nil, agent)
 	buf = binary.BigEndian.AppendUint64(buf, o.key)
@@ -110,20 +115,21 @@
 	return time.Duration(xxhash.Sum64(buf) % uint64(announceSpread))
 }
 
-// announce tells an agent if it is time, and returns whether that was all.
+// announce sends an announcement if it is due. It returns whether the
+// announcement is finished.
 func (o *Observer) announce(now time.Time, p *announcement, out *Effects) bool {
 	a := o.agents[p.agent]
-	if a == nil || !a.direct || o.config.of(a) <= a.config {
+	if a == nil || !a.direct || o.config.versionFor(a) <= a.config {
 		return true
 	}
-	if now.Before(p.at) {
+	if now.Before(p.dueAt) {
 		return false
 	}
-	if p.tries == 0 || !o.config.spare.AllowN(now, 1) {
+	if p.triesLeft == 0 || !o.config.announceLimiter.AllowN(now, 1) {
 		return true
 	}
-	p.tries--
-	p.at = now.Add(announceRepeat)
-	o.ack(a, a.addr, a.incarnation, out)
+	p.triesLeft--
+	p.dueAt = now.Add(announceRetryInterval)
+	o.sendAck(a, a.addr, a.incarnation, out)
 	return false
 }
--- a/membership/budget_test.go
+++ b/membership/budget_test.go
@@ -12,43 +12,43 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// figures are what one run of a cluster measured.
-type figures struct {
+// measurements are the results of one run of a cluster.
+type measurements struct {
 	entryMean, entryMax, agentMean, agentMax float64 // bytes/s, in and out
 	period                                   time.Duration
-	ownAge, anyAge                           time.Duration // p50 of rows heard directly, and of all
-	rows, perPool                            float64       // rows known to an entry, rows under 10 s old a pool
+	directAge, allAge                        time.Duration // p50 of rows received directly, and of all
+	rows, perPool                            float64       // rows per entry, rows under 10 s old per pool
 	peerAgeMax, peerAgeP50                   time.Duration
 }
 
-// Changes of configuration at the size of docs/design/0002-declared-state.md:
-// 15,000 a day, of which one in ten concerns a pool, and the rest workspace
-// policies and service levels, which no agent needs.
+// Configuration changes at the size of docs/design/0002-declared-state.md:
+// 15,000 a day. One in ten concerns a pool. The others are workspace policies
+// and service levels, which no agent needs.
 const (
-	changeEvery   = 24 * time.Hour / 15_000
-	poolChangeOne = 10
+	changeInterval  = 24 * time.Hour / 15_000
+	poolChangeEvery = 10
 )
 
-func (c *cluster) dailyChange(pools int) {
+func (c *cluster) nextDailyChange(pools int) {
 	pool := ""
-	if n := int(c.config.revision); n%poolChangeOne == 0 {
-		pool = fmt.Sprintf("pool-%d", n/poolChangeOne%pools)
+	if n := int(c.config.revision); n%poolChangeEvery == 0 {
+		pool = fmt.Sprintf("pool-%d", n/poolChangeEvery%pools)
 	}
-	c.change(pool, c.entries...)
+	c.changeConfig(pool, c.entries...)
 }
 
-// measure warms a cluster up and measures it for a while.
-func measure(t testing.TB, entries, agents, pools int, warm, d time.Duration) figures {
+// measure runs a cluster for the time warm and then measures it for the time d.
+func measure(t testing.TB, entries, agents, pools int, warm, d time.Duration) measurements {
 	c := newCluster(t, entries, agents, pools, 7)
-	c.churn = 0.05 // loads jump twice a second: every report out of turn is used
+	c.loadJumpChance = 0.05 // loads jump twice a second, which uses up all unscheduled reports
 	c.run(warm)
 	clear(c.bytes)
 	start := c.now
 	for c.now.Sub(start) < d {
-		c.run(changeEvery)
-		c.dailyChange(pools)
+		c.run(changeInterval)
+		c.nextDailyChange(pools)
 	}
-	var f figures
+	var f measurements
 	seconds := c.now.Sub(start).Seconds()
 	var ownAges, allAges, peerAges []time.Duration
 	fresh, rows := 0, 0
@@ -72,7 +72,7 @@
 			}
 		}
 		for _, p := range e.peers.all {
-			peerAges = append(peerAges, c.now.Sub(p.heardAt))
+			peerAges = append(peerAges, c.now.Sub(p.lastSeen))
 		}
 	}
 	for _, a := range c.agents {
@@ -83,8 +83,8 @@
 	slices.Sort(ownAges)
 	slices.Sort(allAges)
 	slices.Sort(peerAges)
-	f.ownAge = ownAges[len(ownAges)/2]
-	f.anyAge = allAges[len(allAges)/2]
+	f.directAge = ownAges[len(ownAges)/2]
+	f.allAge = allAges[len(allAges)/2]
 	f.peerAgeP50 = peerAges[len(peerAges)/2]
 	f.peerAgeMax = peerAges[len(peerAges)-1]
 	f.rows = float64(rows) / float64(entries)
@@ -92,9 +92,10 @@
 	return f
 }
 
-// BenchmarkControlBytes prints control bytes a second of each role at today's
-// sizes and at one region of the letter's, with encoded datagrams and 28 bytes
-// of headers each, and the staleness that the periods give.
+// BenchmarkControlBytes prints the control bytes per second of each role at
+// today's sizes and at one region of the target size, with encoded datagrams and
+// 28 bytes of headers each. It also prints the age of rows and of signs of life
+// that the periods give.
 func BenchmarkControlBytes(b *testing.B) {
 	for _, size := range []struct{ entries, agents, pools int }{
 		{3, 19, 2}, {3, 24, 2}, {8, 224, 14}, {86, 2400, 14},
@@ -107,8 +108,8 @@
 				b.ReportMetric(f.agentMean, "agent-B/s")
 				b.ReportMetric(f.agentMax, "agent-max-B/s")
 				b.ReportMetric(f.period.Seconds(), "period-s")
-				b.ReportMetric(f.ownAge.Seconds(), "own-age-p50-s")
-				b.ReportMetric(f.anyAge.Seconds(), "all-age-p50-s")
+				b.ReportMetric(f.directAge.Seconds(), "own-age-p50-s")
+				b.ReportMetric(f.allAge.Seconds(), "all-age-p50-s")
 				b.ReportMetric(f.rows, "rows/entry")
 				b.ReportMetric(f.perPool, "rows<10s/pool")
 				b.ReportMetric(f.peerAgeP50.Seconds(), "peer-age-p50-s")
@@ -118,9 +119,9 @@
 	}
 }
 
-// Symptom: control traffic of an entry exceeds its limit as the fleet grows.
-// Sequence: more agents than before report to each entry.
-// Cause: a report period that doesn't follow their number.
+// The control traffic of an entry must stay within its limit as the fleet grows.
+// It exceeded the limit if the report period didn't grow with the number of
+// agents that report to an entry.
 func TestControlBytesStayInBudget(t *testing.T) {
 	t.Parallel()
 	for _, size := range []struct{ entries, agents, pools int }{{3, 24, 2}, {16, 448, 14}} {
@@ -132,8 +133,8 @@
 	}
 }
 
-// TestReportCost holds the constant, by which an entry works out the period it
-// asks for, against the encoded messages.
+// TestReportCost checks reportCost, from which an entry computes the report
+// period, against the encoded messages.
 func TestReportCost(t *testing.T) {
 	c := newCluster(t, 1, 1, 1, 1)
 	a := c.agents[0]
@@ -141,17 +142,17 @@
 	a.sequence, a.config = 1<<20, 1<<20
 	a.SetPeers("entry-0", c.peerList())
 	h := a.active[0]
-	h.greeted = true
+	h.hasDescriptor = true
 	load := a.load
 	load.Sequence = a.sequence
-	report := proto.Size(a.message(h, load))
+	report := proto.Size(a.reportOrHello(h, load))
 	ack := proto.Size(ackMessage(&wirepb.ReportAck{
 		Entry: h.key, EntryIncarnation: c.incarnation(), Sequence: 1 << 20,
 		PeersVersion: 1 << 63, PeriodMs: 4000,
 	}))
 	cost := report + wire.HeaderBytes + (ack+wire.HeaderBytes)/ackEvery
 	if cost > reportCost || cost < reportCost*3/4 {
-		t.Errorf("a report with its share of an answer costs %d B (%d + %d/%d, %d B of headers each), reportCost is %d",
+		t.Errorf("a report with its share of an acknowledgement costs %d B (%d + %d/%d, %d B of headers each), reportCost is %d",
 			cost, report, ack, ackEvery, wire.HeaderBytes, reportCost)
 	}
 }
--- a/membership/cluster_test.go
+++ b/membership/cluster_test.go
@@ -15,48 +15,49 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// cluster runs Reporters and Observers over a network of its own, in virtual
-// time. Every datagram passes wire's Check and is encoded and decoded.
+// cluster runs Reporters and Observers over a simulated network in virtual time.
+// Every datagram passes wire's Check and is encoded and decoded.
 type cluster struct {
-	t       testing.TB
-	rnd     *rand.Rand
-	now     time.Time
-	entries []*entryNode
-	agents  []*agentNode
-	queue   flights
-	order   int
-	// deliver gives a datagram's arrivals: none if it is lost.
-	deliver func(from, to netip.AddrPort) []time.Duration
-	bytes   map[netip.AddrPort]int // in and out, with headers
-	sent    map[netip.AddrPort]int // datagrams
-	lost    int                    // percent, for the segments of pulls
-	config  declaredRevisions
-	filled  int // bytes of lists of servers, answers only
-	// churn is the chance a step that an agent's load jumps.
-	churn float64
+	t         testing.TB
+	rnd       *rand.Rand
+	now       time.Time
+	entries   []*entryNode
+	agents    []*agentNode
+	queue     inFlightQueue
+	nextOrder int
+	// deliver returns the delays at which copies of a datagram arrive. It
+	// returns none if the datagram is lost.
+	deliver         func(from, to netip.AddrPort) []time.Duration
+	bytes           map[netip.AddrPort]int // in and out, with headers
+	sent            map[netip.AddrPort]int // datagrams
+	lossPercent     int                    // percent, for the segments of pulls
+	config          declaredVersions
+	serverListBytes int // bytes of server lists, responses only
+	// loadJumpChance is the probability per step that an agent's load jumps.
+	loadJumpChance float64
 }
 
 type entryNode struct {
 	*Observer
-	addr     netip.AddrPort
-	table    *fakeTable
-	paused   bool
-	dead     bool
-	evidence int
-	pulls    int // requests for newer configuration
+	addr             netip.AddrPort
+	table            *fakeTable
+	paused           bool
+	dead             bool
+	evidenceReceived int
+	configPulls      int // requests for newer configuration
 }
 
 type agentNode struct {
 	*Reporter
-	addr   netip.AddrPort
-	load   backend.Load
-	paused bool
-	dead   bool
-	pulls  int
-	pull   configPull
+	addr        netip.AddrPort
+	load        backend.Load
+	paused      bool
+	dead        bool
+	configPulls int
+	pendingPull configPull
 }
 
-// fakeTable keeps what an Observer says.
+// fakeTable stores the calls of an Observer as rows.
 type fakeTable struct {
 	rows map[uint64]*fakeRow
 }
@@ -109,26 +110,26 @@
 	return backend.StateDead
 }
 
-// flight is a datagram under way.
-type flight struct {
+// inFlightDatagram is a datagram in transit.
+type inFlightDatagram struct {
 	at       time.Time
 	order    int
 	from, to netip.AddrPort
-	buf      []byte
+	encoded  []byte
 }
 
-type flights []flight
+type inFlightQueue []inFlightDatagram
 
-func (f flights) Len() int { return len(f) }
-func (f flights) Less(i, j int) bool {
+func (f inFlightQueue) Len() int { return len(f) }
+func (f inFlightQueue) Less(i, j int) bool {
 	if !f[i].at.Equal(f[j].at) {
 		return f[i].at.Before(f[j].at)
 	}
 	return f[i].order < f[j].order
 }
-func (f flights) Swap(i, j int) { f[i], f[j] = f[j], f[i] }
-func (f *flights) Push(x any)   { *f = append(*f, x.(flight)) }
-func (f *flights) Pop() any {
+func (f inFlightQueue) Swap(i, j int) { f[i], f[j] = f[j], f[i] }
+func (f *inFlightQueue) Push(x any)   { *f = append(*f, x.(inFlightDatagram)) }
+func (f *inFlightQueue) Pop() any {
 	last := (*f)[len(*f)-1]
 	*f = (*f)[:len(*f)-1]
 	return last
@@ -147,7 +148,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 7001)
 }
 
-// newCluster starts entries and agents of one region with pools of equal size.
+// newCluster starts the entries and agents of one region, with pools of equal
+// size.
 func newCluster(t testing.TB, entries, agents, pools int, seed uint64) *cluster {
 	c := &cluster{
 		t:     t,
@@ -204,7 +206,7 @@
 	}
 }
 
-// startAgent gives agent i a new life.
+// startAgent starts agent i with a new incarnation.
 func (c *cluster) startAgent(i, pools int) {
 	a := c.agents[i]
 	a.Reporter = NewReporter(ReporterConfig{
@@ -232,47 +234,47 @@
 	return seeds
 }
 
-// run advances virtual time.
+// run advances the virtual time.
 func (c *cluster) run(d time.Duration) {
 	for end := c.now.Add(d); c.now.Before(end); {
 		c.now = c.now.Add(clusterStep)
-		c.arrive()
+		c.deliverDue()
 		for _, e := range c.entries {
 			if !e.paused && !e.dead {
-				c.entryEffects(e, e.Tick(c.now))
+				c.applyEntry(e, e.Tick(c.now))
 			}
 		}
 		for _, a := range c.agents {
-			c.endPull(a)
-			if c.churn > 0 && c.rnd.Float64() < c.churn {
+			c.finishPull(a)
+			if c.loadJumpChance > 0 && c.rnd.Float64() < c.loadJumpChance {
 				a.load.PrefillShort = c.rnd.Int64N(60_000)
 			}
 			if !a.paused && !a.dead {
-				c.agentEffects(a, a.Tick(c.now, a.load))
+				c.applyAgent(a, a.Tick(c.now, a.load))
 			}
 		}
 	}
 }
 
-// arrive hands over what is due.
-func (c *cluster) arrive() {
+// deliverDue delivers the datagrams that are due.
+func (c *cluster) deliverDue() {
 	for len(c.queue) > 0 && !c.queue[0].at.After(c.now) {
-		f := heap.Pop(&c.queue).(flight)
-		m, err := wire.Decode(f.buf)
+		f := heap.Pop(&c.queue).(inFlightDatagram)
+		m, err := wire.Decode(f.encoded)
 		if err != nil {
-			c.t.Fatalf("bad datagram: %v", err)
+			c.t.Fatalf("received an invalid datagram: %v", err)
 		}
-		c.bytes[f.to] += len(f.buf) + wire.HeaderBytes
+		c.bytes[f.to] += len(f.encoded) + wire.HeaderBytes
 		if i := entryIndex(f.to); i >= 0 && i < len(c.entries) && !c.entries[i].paused && !c.entries[i].dead {
-			c.entryEffects(c.entries[i], c.entries[i].Handle(c.now, f.from, m))
+			c.applyEntry(c.entries[i], c.entries[i].Handle(c.now, f.from, m))
 		}
-		if i := c.agentAt(f.to); i >= 0 && !c.agents[i].paused && !c.agents[i].dead {
-			c.agentEffects(c.agents[i], c.agents[i].Handle(c.now, f.from, m))
+		if i := c.agentIndex(f.to); i >= 0 && !c.agents[i].paused && !c.agents[i].dead {
+			c.applyAgent(c.agents[i], c.agents[i].Handle(c.now, f.from, m))
 		}
 	}
 }
 
-// entryIndex is the inverse of entryAddr, -1 for an agent's address.
+// entryIndex is the inverse of entryAddr. It returns -1 for an agent's address.
 func entryIndex(addr netip.AddrPort) int {
 	ip := addr.Addr().As4()
 	if ip[1] != 0 {
@@ -281,7 +283,7 @@
 	return int(ip[2])<<8 + int(ip[3])
 }
 
-func (c *cluster) agentAt(addr netip.AddrPort) int {
+func (c *cluster) agentIndex(addr netip.AddrPort) int {
 	ip := addr.Addr().As4()
 	i := int(ip[2])<<8 + int(ip[3])
 	if ip[1] != 1 || i >= len(c.agents) {
@@ -297,53 +299,54 @@
 			c.t.Fatal(err)
 		}
 		if len(buf) > wire.MaxDatagramBytes {
-			c.t.Fatalf("datagram of %d bytes", len(buf))
+			c.t.Fatalf("datagram of %d bytes exceeds the maximum", len(buf))
 		}
 		if err := wire.Check(o.Message); err != nil {
-			c.t.Fatalf("sent a bad datagram: %v", err)
+			c.t.Fatalf("sent an invalid datagram: %v", err)
 		}
 		c.bytes[from] += len(buf) + wire.HeaderBytes
 		c.sent[from]++
 		for _, delay := range c.deliver(from, o.To) {
-			c.order++
-			heap.Push(&c.queue, flight{c.now.Add(delay), c.order, from, o.To, buf})
+			c.nextOrder++
+			heap.Push(&c.queue, inFlightDatagram{c.now.Add(delay), c.nextOrder, from, o.To, buf})
 		}
 	}
 }
 
-func (c *cluster) entryEffects(e *entryNode, out Effects) {
+func (c *cluster) applyEntry(e *entryNode, out Effects) {
 	c.send(e.addr, out.Send)
-	e.evidence += len(out.NewEvidence)
+	e.evidenceReceived += len(out.NewEvidence)
 	if out.PullConfigFrom != "" {
-		e.pulls++
+		e.configPulls++
 	}
-	if from := c.entryAt(out.PullServersFrom); from != nil {
-		c.takeServers(e, from)
+	if from := c.entryByRPC(out.PullServersFrom); from != nil {
+		c.pullServers(e, from)
 	} else if out.PullServersFrom != "" {
 		e.ServersPulled(false)
 	}
 	if out.PullPeersFrom != "" {
-		if from := c.entryAt(out.PullPeersFrom); from != nil {
+		if from := c.entryByRPC(out.PullPeersFrom); from != nil {
 			e.MergePeers(c.now, from.Peers())
 		}
 	}
 }
 
-func (c *cluster) agentEffects(a *agentNode, out Effects) {
+func (c *cluster) applyAgent(a *agentNode, out Effects) {
 	c.send(a.addr, out.Send)
 	if out.PullConfigFrom != "" {
-		c.beginPull(a, out.PullConfigFrom)
+		c.startPull(a, out.PullConfigFrom)
 	}
-	if from := c.entryAt(out.PullPeersFrom); from != nil {
+	if from := c.entryByRPC(out.PullPeersFrom); from != nil {
 		a.SetPeers(from.self.GetName(), from.Peers())
 	}
 }
 
-// takeServers gives one entry the list of another, as the runner takes it.
-func (c *cluster) takeServers(e, from *entryNode) {
+// pullServers merges the server list of one entry into another, page by page
+// like the runner.
+func (c *cluster) pullServers(e, from *entryNode) {
 	for after := uint64(0); ; {
 		page := from.Servers(c.now, after, 0)
-		c.filled += proto.Size(page)
+		c.serverListBytes += proto.Size(page)
 		e.MergeServers(c.now, page.GetServers())
 		if page.GetNext() == 0 {
 			e.ServersPulled(true)
@@ -353,8 +356,8 @@
 	}
 }
 
-// entryAt returns the living entry at a drpc address, or nil.
-func (c *cluster) entryAt(rpc string) *entryNode {
+// entryByRPC returns the running entry at a drpc address, or nil.
+func (c *cluster) entryByRPC(rpc string) *entryNode {
 	for _, e := range c.entries {
 		if e.self.GetRpcAddress() == rpc && !e.dead && !e.paused {
 			return e
--- a/membership/config_test.go
+++ b/membership/config_test.go
@@ -17,67 +17,68 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// declaredRevisions stands for the store: each pool's newest version.
-type declaredRevisions struct {
-	revision uint64
-	pools    map[string]uint64
+// declaredVersions replaces the store. It has the newest version of each pool.
+type declaredVersions struct {
+	revision     uint64
+	poolVersions map[string]uint64
 }
 
-// change accepts an object that concerns a pool, or no agent if pool is empty,
-// and puts it in force at the given entries.
-func (c *cluster) change(pool string, at ...*entryNode) uint64 {
+// changeConfig adds an object that concerns a pool, or no agent if pool is
+// empty, and puts it in force at the given entries.
+func (c *cluster) changeConfig(pool string, at ...*entryNode) uint64 {
 	next := map[string]uint64{}
-	for name, v := range c.config.pools {
+	for name, v := range c.config.poolVersions {
 		next[name] = v
 	}
 	c.config.revision++
 	if pool != "" {
 		next[pool] = c.config.revision
 	}
-	c.config.pools = next
+	c.config.poolVersions = next
 	for _, e := range at {
 		e.SetConfig(c.config.revision, func(pool string) uint64 { return next[pool] })
 	}
 	return c.config.revision
 }
 
-// configPull is an agent's pull under way.
+// configPull is a pull of an agent that is in progress.
 type configPull struct {
-	until    time.Time // zero: none
-	revision uint64    // that it brings; 0: it fails
+	endsAt   time.Time // zero: none
+	revision uint64    // revision that the pull brings; 0: the pull fails
 }
 
-// beginPull starts a pull unless one is under way, as the runner does.
-func (c *cluster) beginPull(a *agentNode, rpc string) {
-	if !a.pull.until.IsZero() {
+// startPull starts a pull unless one is in progress, like the runner.
+func (c *cluster) startPull(a *agentNode, rpc string) {
+	if !a.pendingPull.endsAt.IsZero() {
 		return
 	}
-	a.pulls++
-	took := c.segment(time.Second) + c.segment(200*time.Millisecond) // connect, call
-	e := c.entryAt(rpc)
-	if e == nil || took > pullLimit {
-		a.pull = configPull{until: c.now.Add(pullLimit)}
+	a.configPulls++
+	took := c.segmentRoundTrip(time.Second) + c.segmentRoundTrip(200*time.Millisecond) // connect, call
+	e := c.entryByRPC(rpc)
+	if e == nil || took > pullTimeout {
+		a.pendingPull = configPull{endsAt: c.now.Add(pullTimeout)}
 		return
 	}
-	a.pull = configPull{until: c.now.Add(took), revision: e.config.revision}
+	a.pendingPull = configPull{endsAt: c.now.Add(took), revision: e.config.revision}
 	c.bytes[a.addr] += pullBytes
 	c.bytes[e.addr] += pullBytes
 }
 
-func (c *cluster) endPull(a *agentNode) {
-	if a.pull.until.IsZero() || c.now.Before(a.pull.until) {
+func (c *cluster) finishPull(a *agentNode) {
+	if a.pendingPull.endsAt.IsZero() || c.now.Before(a.pendingPull.endsAt) {
 		return
 	}
-	if a.pull.revision > 0 {
-		a.SetConfigVersion(a.pull.revision)
+	if a.pendingPull.revision > 0 {
+		a.SetConfigVersion(a.pendingPull.revision)
 	}
-	a.pull = configPull{}
+	a.pendingPull = configPull{}
 }
 
-// segment is the time of a TCP segment and its answer, sent again after rto,
-// doubled each time, while one of the two is lost.
-func (c *cluster) segment(rto time.Duration) time.Duration {
-	arrive := 100 - c.lost
+// segmentRoundTrip returns the time until a TCP segment is acknowledged. While
+// the segment or its answer is lost, it is sent again after rto, which doubles
+// each time.
+func (c *cluster) segmentRoundTrip(rto time.Duration) time.Duration {
+	arrive := 100 - c.lossPercent
 	took := 2 * linkDelay
 	for c.rnd.IntN(100*100) >= arrive*arrive {
 		took += rto
@@ -86,16 +87,17 @@
 	return took
 }
 
-// lose loses a share of all datagrams, and of the segments of pulls.
-func (c *cluster) lose(percent int) {
-	c.lost = percent
-	c.deliver = badNetwork(c.rnd, percent, 0)
+// setLoss sets the percentage of datagrams and of segments of pulls that are
+// lost.
+func (c *cluster) setLoss(percent int) {
+	c.lossPercent = percent
+	c.deliver = unreliableNetwork(c.rnd, percent, 0)
 }
 
-// inForce changes a pool's configuration at all entries and returns how long
-// each agent of it took to have it, sorted.
-func (c *cluster) inForce(pool string, limit time.Duration) []time.Duration {
-	version := c.change(pool, c.entries...)
+// measureConfigDelay changes a pool's configuration at all entries. It returns
+// how long it took until each of the pool's agents had it, sorted.
+func (c *cluster) measureConfigDelay(pool string, limit time.Duration) []time.Duration {
+	version := c.changeConfig(pool, c.entries...)
 	start := c.now
 	var took []time.Duration
 	has := map[*agentNode]bool{}
@@ -121,15 +123,15 @@
 	return took
 }
 
-// storeDelay is the sum of what comes before an entry has a change: the pause
-// between two watches (docs/design/0002-declared-state.md) and the call.
+// storeDelay is the time before an entry has a change: the pause between two
+// watches (docs/design/0002-declared-state.md) and the call.
 const storeDelay = 600 * time.Millisecond
 
-// configLimit is what remains of 9 s.
-const configLimit = 9*time.Second - storeDelay
+// configDelayLimit is the remainder of 9 s.
+const configDelayLimit = 9*time.Second - storeDelay
 
-// BenchmarkConfigInForce prints the time from "all entries have a change of a
-// pool" to "an agent of the pool has it", over ten changes.
+// BenchmarkConfigInForce prints the time from the moment when all entries have a
+// change of a pool until an agent of the pool has it, over ten changes.
 func BenchmarkConfigInForce(b *testing.B) {
 	for _, size := range []struct{ entries, agents, pools int }{{3, 24, 2}, {86, 2400, 14}} {
 		for _, lost := range []int{0, 5, 20} {
@@ -137,22 +139,22 @@
 				for range b.N {
 					c := newCluster(b, size.entries, size.agents, size.pools, 25)
 					c.run(30 * time.Second)
-					c.lose(lost)
+					c.setLoss(lost)
 					var all []time.Duration
 					for i := range 10 {
-						all = append(all, c.inForce(fmt.Sprintf("pool-%d", i%size.pools), time.Minute)...)
+						all = append(all, c.measureConfigDelay(fmt.Sprintf("pool-%d", i%size.pools), time.Minute)...)
 						c.run(5 * time.Second)
 					}
 					slices.Sort(all)
 					late := 0
 					for _, d := range all {
-						if d > configLimit {
+						if d > configDelayLimit {
 							late++
 						}
 					}
 					pulls := 0
 					for _, a := range c.agents {
-						pulls += a.pulls
+						pulls += a.configPulls
 					}
 					b.ReportMetric(all[len(all)/2].Seconds(), "p50-s")
 					b.ReportMetric(all[len(all)*99/100].Seconds(), "p99-s")
@@ -166,96 +168,95 @@
 	}
 }
 
-// Symptom: a change isn't in force at some agents within 9 s.
-// Sequence: a pool's object is changed; a share of all datagrams is lost.
-// Cause: agents wait for the answer to their next report, or an announcement
-// is lost and not repeated.
-func TestChangeIsInForceInTime(t *testing.T) {
+// A pool's change must be in force at its agents within 9 s, although a share of
+// all datagrams is lost. It came later if agents waited for the answer to their
+// next report, or if a lost announcement wasn't repeated.
+func TestConfigChangeReachesAgentsInTime(t *testing.T) {
 	t.Parallel()
 	for _, size := range []struct{ entries, agents, pools int }{{3, 24, 2}, {8, 224, 14}} {
 		for _, lost := range []int{0, 5, 20} {
 			c := newCluster(t, size.entries, size.agents, size.pools, 21)
-			c.run(settled)
-			c.lose(lost)
+			c.run(settleTime)
+			c.setLoss(lost)
 			for range 3 {
-				c.inForce("pool-0", configLimit)
+				c.measureConfigDelay("pool-0", configDelayLimit)
 				c.run(10 * time.Second)
 			}
 		}
 	}
 }
 
-// Symptom: a change reaches an agent only with the answer to its next report.
-// Sequence: nothing that entries send arrives in the second after the change.
-// Cause: an announcement isn't repeated.
+// A lost announcement must be repeated. Here all datagrams of entries are lost
+// in the second after the change. Without the repetition an agent would get the
+// change only with the answer to its next report.
 func TestLostAnnouncementIsRepeated(t *testing.T) {
 	c := newCluster(t, 8, 224, 4, 26)
-	c.run(settled)
-	c.cut(func(from, _ netip.AddrPort) bool { return c.agentAt(from) < 0 })
-	version := c.change("pool-0", c.entries...)
+	c.run(settleTime)
+	c.dropIf(func(from, _ netip.AddrPort) bool { return c.agentIndex(from) < 0 })
+	version := c.changeConfig("pool-0", c.entries...)
 	c.run(announceSpread)
-	c.heal()
-	c.run(announceRepeat + 5*clusterStep)
+	c.dropNothing()
+	c.run(announceRetryInterval + 5*clusterStep)
 	for _, a := range c.agents {
 		if a.cfg.Descriptor.Pool == "pool-0" && a.Reporter.config < version {
-			t.Errorf("%s doesn't have it", a.name())
+			t.Errorf("%s doesn't have the change", a.name())
 		}
 	}
 }
 
-// Symptom: each change makes all agents pull, and control exceeds its budget.
-// Sequence: changes that concern no agent, and one that concerns one pool.
-// Cause: agents are told the revision of the whole declared state.
-func TestOnlyAgentsOfThePoolPull(t *testing.T) {
+// Only the agents of a changed pool may pull. If agents were notified of the
+// revision of the whole declared state, each change would make all of them pull
+// and the control traffic would exceed its budget.
+func TestOnlyAgentsOfChangedPoolPull(t *testing.T) {
 	c := newCluster(t, 4, 40, 4, 22)
-	c.run(settled)
+	c.run(settleTime)
 	for range 10 {
-		c.change("", c.entries...)
+		c.changeConfig("", c.entries...)
 		c.run(time.Second)
 	}
-	c.inForce("pool-1", configLimit)
-	c.run(settled)
+	c.measureConfigDelay("pool-1", configDelayLimit)
+	c.run(settleTime)
 	for _, a := range c.agents {
 		want := 0
 		if a.cfg.Descriptor.Pool == "pool-1" {
 			want = 1
 		}
-		if a.pulls != want {
-			t.Errorf("%s of %s pulled %d times, want %d", a.name(), a.cfg.Descriptor.Pool, a.pulls, want)
+		if a.configPulls != want {
+			t.Errorf("%s of %s pulled %d times, want %d", a.name(), a.cfg.Descriptor.Pool, a.configPulls, want)
 		}
 	}
 }
 
-// Symptom: operators' burst of changes after a freeze floods entries with pulls.
-// Sequence: 200 changes of all pools within 20 s.
-// Cause: each change is announced to each agent for itself.
+// 200 changes of all pools within 20 s, as operators make them after a freeze,
+// must not flood the entries with pulls. This happened if each change was
+// announced to each agent separately.
 func TestBurstOfChangesIsCoalesced(t *testing.T) {
 	c := newCluster(t, 4, 40, 4, 23)
-	c.run(settled)
+	c.run(settleTime)
 	for i := range 200 {
-		c.change([]string{"pool-0", "pool-1", "pool-2", "pool-3"}[i%4], c.entries...)
+		c.changeConfig([]string{"pool-0", "pool-1", "pool-2", "pool-3"}[i%4], c.entries...)
 		c.run(clusterStep)
 	}
-	c.run(configLimit)
+	c.run(configDelayLimit)
 	for _, a := range c.agents {
-		if a.Reporter.config < c.config.pools[a.cfg.Descriptor.Pool] {
-			t.Errorf("%s lacks the newest version", a.name())
+		if a.Reporter.config < c.config.poolVersions[a.cfg.Descriptor.Pool] {
+			t.Errorf("%s doesn't have the newest version", a.name())
 		}
-		if a.pulls > 14 {
-			t.Errorf("%s pulled %d times for 50 changes of its pool in 20 s", a.name(), a.pulls)
+		if a.configPulls > 14 {
+			t.Errorf("%s pulled %d times for 50 changes of its pool in 20 s", a.name(), a.configPulls)
 		}
 	}
 }
 
-// Symptom: a restarted agent takes its drain for acknowledged and doesn't repeat
-// it.
-// Sequence: an announcement to its former life arrives after its start.
-// Cause: the sequence that it acknowledges is the former life's.
-func TestAnnouncementToFormerLifeAcknowledgesNothing(t *testing.T) {
+// An announcement to the previous incarnation of an agent, which arrives after
+// its restart, must not acknowledge anything. It carries a sequence of the
+// previous incarnation. The agent would treat its drain as acknowledged and not
+// repeat it.
+func TestAnnouncementToOldIncarnationAcknowledgesNothing(t *testing.T) {
 	c := newCluster(t, 3, 1, 1, 24)
-	c.run(settled)
+	c.run(settleTime)
 	a, e := c.agents[0], c.entries[0]
-	c.change("pool-0", e)
+	c.changeConfig("pool-0", e)
 	var late []Outgoing
 	for len(late) == 0 {
 		c.now = c.now.Add(clusterStep)
@@ -268,22 +269,23 @@
 	c.startAgent(0, 1)
 	c.run(clusterStep)
 	h := a.entries[e.key]
-	before := h.acked
+	before := h.ackedSequence
 	out := a.Handle(c.now, e.addr, late[0].Message)
-	if h.acked != before || h.greeted {
-		t.Errorf("acknowledged %d, greeted %t", h.acked, h.greeted)
+	if h.ackedSequence != before || h.hasDescriptor {
+		t.Errorf("acknowledged sequence %d, home has descriptor %t", h.ackedSequence, h.hasDescriptor)
 	}
 	if out.PullConfigFrom == "" {
-		t.Error("the new version isn't pulled")
+		t.Error("the new version wasn't pulled")
 	}
 }
 
 // ---- cost of a pull ---------------------------------------------------------
 
-// Headers of a pull over TCP. Connections to entries are idle longer than the
-// pool keeps them (60 s), so each pull connects anew: SYN, SYN-ACK and ACK, one
-// segment and one ACK each way for call and answer, FIN and ACK each way. 40
-// bytes of IPv4 and TCP headers, 12 of timestamps; 8 more of options in a SYN.
+// Headers of a pull over TCP. Connections to entries are idle for longer than
+// the pool keeps them (60 s), so each pull opens a new one: SYN, SYN-ACK and
+// ACK, one segment and one ACK each way for call and answer, FIN and ACK each
+// way. Each has 40 bytes of IPv4 and TCP headers and 12 of timestamps. A SYN has
+// 8 more bytes of options.
 const (
 	tcpSegments  = 3 + 2 + 2 + 4
 	tcpHeaders   = tcpSegments*52 + 2*8
@@ -307,15 +309,15 @@
 	}, nil
 }
 
-// countingListener counts the bytes of its connections, both ways.
+// countingListener counts the bytes of its connections in both directions.
 type countingListener struct {
 	net.Listener
-	n atomic.Int64
+	count atomic.Int64
 }
 
 type countingConn struct {
 	net.Conn
-	n *atomic.Int64
+	count *atomic.Int64
 }
 
 func (l *countingListener) Accept() (net.Conn, error) {
@@ -323,23 +325,23 @@
 	if err != nil {
 		return nil, err
 	}
-	return &countingConn{conn, &l.n}, nil
+	return &countingConn{conn, &l.count}, nil
 }
 
 func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.n.Add(int64(n))
+	c.count.Add(int64(n))
 	return n, err
 }
 
 func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.n.Add(int64(n))
+	c.count.Add(int64(n))
 	return n, err
 }
 
-// TestPullCost holds the constants, by which announcements are paced and pulls
-// are counted, against a real call with its framing.
+// TestPullCost checks the constants that pace announcements and count pulls
+// against a real call with its framing.
 func TestPullCost(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -366,7 +368,7 @@
 	}
 	cancel()
 	<-served
-	got := int(counted.n.Load())
+	got := int(counted.count.Load())
 	t.Logf("call and answer: %d B", got)
 	if got > pullPayload || got < pullPayload/2 {
 		t.Errorf("a pull takes %d B, pullPayload is %d", got, pullPayload)
@@ -375,7 +377,7 @@
 		Entry: 1, EntryIncarnation: 1_800_000_000_000, Sequence: 1 << 20, ConfigVersion: 1 << 24,
 		PeersVersion: 1 << 63, PeriodMs: 7000, KnownIncarnation: 1_800_000_000_000,
 	})) + wire.HeaderBytes
-	if sum := pullBytes + 2*ack; sum > pullCost || sum < pullCost*3/4 {
-		t.Errorf("an announcement, sent twice, and its pull cost %d B, pullCost is %d", sum, pullCost)
+	if sum := pullBytes + 2*ack; sum > announceCost || sum < announceCost*3/4 {
+		t.Errorf("an announcement, sent twice, and its pull cost %d B, announceCost is %d", sum, announceCost)
 	}
 }
--- a/membership/digest.go
+++ b/membership/digest.go
@@ -15,83 +15,88 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// What one digest carries, so that its size stays within the budget.
+// Limits of a digest, which keep its size within the budget.
 const (
-	digestRows     = 12
-	digestEvidence = 6
-	rowsPerPool    = 2
-	// drainSpread is how long a draining server goes first in digests.
-	drainSpread = 10 * time.Second
-	kilo        = 1000
-	// describeAgain is how long an agent whose descriptor changed isn't asked
-	// again: its answer is under way, or was lost. It also bounds the requests
-	// if two releases don't encode a descriptor alike.
-	describeAgain = 5 * time.Second
+	// maxDigestRows is the number of rows in a digest.
+	maxDigestRows = 12
+	// maxDigestEvidence is the number of pieces of evidence in a digest.
+	maxDigestEvidence = 6
+	// rowsPerPool is the number of least loaded servers of a pool in a digest.
+	rowsPerPool = 2
+	// drainPriorityTime is how long a draining server comes first in digests.
+	drainPriorityTime = 10 * time.Second
+	kilo              = 1000
+	// describeRetryInterval is the time after which an agent with a changed
+	// descriptor is asked again for it. Until then its answer may be in transit.
+	// It also bounds the requests if two releases encode a descriptor
+	// differently.
+	describeRetryInterval = 5 * time.Second
 )
 
-// digestState remembers where the next digest goes on.
+// digestState is the position at which the next digest continues.
 type digestState struct {
-	pool  string // the last pool that was passed on
-	bytes int    // length of the last digest with its headers
+	lastPool  string // the last pool that a digest contained
+	lastBytes int    // length of the last digest with its headers
 }
 
-// descriptorHash is a descriptor's short name in digests; 0 is kept for
-// unknown.
+// descriptorHash returns the hash that identifies a descriptor in digests. 0
+// means unknown.
 func descriptorHash(d *wirepb.Descriptor) uint32 {
 	buf, err := proto.MarshalOptions{Deterministic: true}.Marshal(d)
 	if err != nil {
-		return 0 // not UTF-8, which Check refuses: told as unknown
+		return 0 // not UTF-8, which Check rejects
 	}
 	return max(1, uint32(xxhash.Sum64(buf)))
 }
 
 // sendDigest sends a digest to one random peer when it is due.
 func (o *Observer) sendDigest(now time.Time, out *Effects) {
-	if o.nextAt.IsZero() {
-		o.nextAt = now.Add(time.Duration(o.cfg.Rand.Float64() * float64(o.cfg.DigestPeriod)))
+	if o.nextDigestAt.IsZero() {
+		o.nextDigestAt = now.Add(time.Duration(o.cfg.Rand.Float64() * float64(o.cfg.DigestPeriod)))
 	}
-	if now.Before(o.nextAt) {
+	if now.Before(o.nextDigestAt) {
 		return
 	}
-	o.nextAt = o.nextAt.Add(o.cfg.DigestPeriod)
-	if o.nextAt.Before(now) {
-		o.nextAt = now.Add(o.cfg.DigestPeriod)
+	o.nextDigestAt = o.nextDigestAt.Add(o.cfg.DigestPeriod)
+	if o.nextDigestAt.Before(now) {
+		o.nextDigestAt = now.Add(o.cfg.DigestPeriod)
 	}
-	if p := o.peers.target(o.cfg.Rand); p != nil {
-		m := digestMessage(o.digest(now))
-		o.digests.bytes = proto.Size(m) + wire.HeaderBytes
+	if p := o.peers.digestTarget(o.cfg.Rand); p != nil {
+		m := digestMessage(o.newDigest(now))
+		o.digests.lastBytes = proto.Size(m) + wire.HeaderBytes
 		out.send(p.addr, m)
 	}
 }
 
-// digest puts one digest together.
-func (o *Observer) digest(now time.Time) *wirepb.Digest {
-	names, ages := o.ages(now)
+// newDigest returns the next digest.
+func (o *Observer) newDigest(now time.Time) *wirepb.Digest {
+	names, ages := o.encodeAges(now)
 	return &wirepb.Digest{
 		Entry:            o.key,
 		EntryIncarnation: o.self.GetIncarnation(),
 		ConfigVersion:    o.config.revision,
 		Draining:         o.self.GetDraining(),
-		Rows:             o.rows(now),
+		Rows:             o.digestRows(now),
 		Entries:          names,
 		Ages:             ages,
-		Evidence:         o.rumors.next(now, digestEvidence),
+		Evidence:         o.evidence.next(now, maxDigestEvidence),
 	}
 }
 
-// rows picks draining servers first, then the least loaded of some pools in
-// turn. Where every entry is a home of every agent there is nothing to pass on.
-func (o *Observer) rows(now time.Time) []*wirepb.DigestRow {
-	if len(o.peers.all)+1 <= allHomes {
+// digestRows returns rows of draining servers first, then of the least loaded
+// servers of some pools in turn. It returns none if every entry is a home of
+// every agent.
+func (o *Observer) digestRows(now time.Time) []*wirepb.DigestRow {
+	if len(o.peers.all)+1 <= maxEntriesAllHomes {
 		return nil
 	}
 	byPool := map[string][]*agent{}
 	var drains []*agent
 	for _, a := range o.agents {
 		switch {
-		case a.gone || a.suspect || a.leaving == a.incarnation:
+		case a.gone || a.suspect || a.leavingIncarnation == a.incarnation:
 		case a.load.Draining:
-			if now.Sub(a.drainedAt) < drainSpread {
+			if now.Sub(a.drainSeenAt) < drainPriorityTime {
 				drains = append(drains, a)
 			}
 		case a.direct:
@@ -99,46 +104,47 @@
 		}
 	}
 	var rows []*wirepb.DigestRow
-	for _, a := range newestDrains(drains, digestRows/2) {
-		rows = append(rows, o.row(now, a))
+	for _, a := range newestDrains(drains, maxDigestRows/2) {
+		rows = append(rows, o.newDigestRow(now, a))
 	}
-	for _, pool := range o.turn(byPool) {
-		if len(rows)+rowsPerPool > digestRows {
+	for _, pool := range o.rotatePools(byPool) {
+		if len(rows)+rowsPerPool > maxDigestRows {
 			break
 		}
 		for _, a := range leastLoaded(byPool[pool], rowsPerPool) {
-			rows = append(rows, o.row(now, a))
+			rows = append(rows, o.newDigestRow(now, a))
 		}
-		o.digests.pool = pool
+		o.digests.lastPool = pool
 	}
 	return rows
 }
 
-// newestDrains returns up to n of the servers that began to drain last. Every
-// entry passes a drain on for a while, not only the homes: two homes alone reach
-// a fifth of a large region in that time.
+// newestDrains returns up to n servers that started to drain last. Every entry
+// relays a drain for a while, not only the homes: two homes alone would reach a
+// fifth of a large region in that time.
 func newestDrains(agents []*agent, n int) []*agent {
 	slices.SortFunc(agents, func(a, b *agent) int {
-		return cmp.Or(b.drainedAt.Compare(a.drainedAt), cmp.Compare(a.key, b.key))
+		return cmp.Or(b.drainSeenAt.Compare(a.drainSeenAt), cmp.Compare(a.key, b.key))
 	})
 	return agents[:min(n, len(agents))]
 }
 
-// turn returns the pools in order, from the one behind the last passed on.
-func (o *Observer) turn(byPool map[string][]*agent) []string {
+// rotatePools returns the pools in order, starting after the last one that was
+// sent.
+func (o *Observer) rotatePools(byPool map[string][]*agent) []string {
 	pools := make([]string, 0, len(byPool))
 	for pool := range byPool {
 		pools = append(pools, pool)
 	}
 	slices.Sort(pools)
-	i, found := slices.BinarySearch(pools, o.digests.pool)
+	i, found := slices.BinarySearch(pools, o.digests.lastPool)
 	if found {
 		i++
 	}
 	return append(pools[i:], pools[:i]...)
 }
 
-// leastLoaded returns up to n agents with the least work waiting.
+// leastLoaded returns up to n agents with the least queued prefill.
 func leastLoaded(agents []*agent, n int) []*agent {
 	slices.SortFunc(agents, func(a, b *agent) int {
 		return cmp.Or(
@@ -150,8 +156,8 @@
 	return agents[:min(n, len(agents))]
 }
 
-// row encodes one agent's last sample.
-func (o *Observer) row(now time.Time, a *agent) *wirepb.DigestRow {
+// newDigestRow encodes the last sample of an agent.
+func (o *Observer) newDigestRow(now time.Time, a *agent) *wirepb.DigestRow {
 	free := a.load.Capacity - a.load.Used - a.load.Held
 	row := &wirepb.DigestRow{
 		Key:          a.key,
@@ -160,7 +166,7 @@
 		PrefillK:     kilos(a.load.PrefillShort + a.load.PrefillLong),
 		PrefillLongK: kilos(a.load.PrefillLong),
 		FreeK:        kilos(free),
-		AgeDs:        tenths(now.Sub(a.sampledAt)),
+		AgeDs:        deciseconds(now.Sub(a.sampledAt)),
 		Draining:     a.load.Draining,
 	}
 	if a.direct {
@@ -174,46 +180,48 @@
 	return row
 }
 
-// kilos and tenths are the units of a row, cut to what Check accepts.
+// kilos and deciseconds convert to the units of a row and cap values at what
+// Check accepts.
 func kilos(n int64) uint32 { return uint32(min(max(n, 0)/kilo, 1<<30)) }
 
-func tenths(d time.Duration) uint32 {
+func deciseconds(d time.Duration) uint32 {
 	return uint32(min(max(d, 0)/(100*time.Millisecond), 36_000))
 }
 
-// age is the inverse of tenths.
-func age(ds uint32) time.Duration { return time.Duration(ds) * 100 * time.Millisecond }
+// fromDeciseconds is the inverse of deciseconds.
+func fromDeciseconds(ds uint32) time.Duration { return time.Duration(ds) * 100 * time.Millisecond }
 
-// handleDigest takes a peer's digest.
+// handleDigest processes a digest from a peer.
 func (o *Observer) handleDigest(now time.Time, d *wirepb.Digest, out *Effects) {
 	if d.GetEntry() == o.key {
 		return
 	}
-	if !o.heard(now, d.GetEntry(), d.GetEntryIncarnation(), 0) {
+	if !o.recordPeerAlive(now, d.GetEntry(), d.GetEntryIncarnation(), 0) {
 		o.oldIncarnation.Inc(1)
 		return
 	}
-	o.notePeer(d, out)
+	o.updateSender(d, out)
 	o.handleAges(now, d)
 	for _, row := range d.GetRows() {
 		o.handleRow(now, row, out)
 	}
-	o.learnEvidence(now, d.GetEvidence(), out)
+	o.handleEvidence(now, d.GetEvidence(), out)
 }
 
-// notePeer takes what a digest says of its sender.
-func (o *Observer) notePeer(d *wirepb.Digest, out *Effects) {
+// updateSender applies what a digest contains about its sender.
+func (o *Observer) updateSender(d *wirepb.Digest, out *Effects) {
 	p := o.peers.all[d.GetEntry()]
 	if p == nil {
-		// An entry that isn't in the list yet: somebody has a newer list.
-		if picked := o.peers.pick(o.cfg.Rand, 1); len(picked) > 0 {
+		// The sender isn't in the list of entries yet, so another peer may have
+		// a newer list.
+		if picked := o.peers.pickLive(o.cfg.Rand, 1); len(picked) > 0 {
 			out.PullPeersFrom = picked[0].info.GetRpcAddress()
 		}
 		return
 	}
 	if d.GetDraining() && !p.info.GetDraining() {
 		p.info.Draining = true
-		o.peers.changed()
+		o.peers.invalidate()
 	}
 	if d.GetConfigVersion() > o.config.revision {
 		out.PullConfigFrom = p.info.GetRpcAddress()
@@ -221,11 +229,11 @@
 	}
 }
 
-// handleRow takes another home's sample of an agent.
+// handleRow applies an agent's sample that another entry relayed.
 func (o *Observer) handleRow(now time.Time, row *wirepb.DigestRow, out *Effects) {
 	a := o.agents[row.GetKey()]
 	if a == nil || row.GetIncarnation() > a.incarnation {
-		o.askDescriptor(now, row, out)
+		o.requestDescriptor(now, row, out)
 		return
 	}
 	if row.GetIncarnation() < a.incarnation {
@@ -233,44 +241,45 @@
 		return
 	}
 	o.checkDescriptor(now, a, row, out)
-	old := age(row.GetAgeDs())
-	if !now.Add(-old).After(a.sampledAt) {
+	sampleAge := fromDeciseconds(row.GetAgeDs())
+	if !now.Add(-sampleAge).After(a.sampledAt) {
 		return
 	}
-	load := rowLoad(row, a)
+	load := loadFromRow(row, a)
 	if a.load.Draining && !load.Draining {
-		return // a drain isn't taken back within an incarnation
+		return // a drain isn't undone within an incarnation
 	}
-	known := o.cfg.Table.ObserveLoad(a.key, a.incarnation, load, old, now)
-	if !known && a.descriptor == nil {
-		o.askDescriptor(now, row, out)
+	inTable := o.cfg.Table.ObserveLoad(a.key, a.incarnation, load, sampleAge, now)
+	if !inTable && a.descriptor == nil {
+		o.requestDescriptor(now, row, out)
 		return
 	}
-	o.sample(now, a, load, max(old, time.Nanosecond))
-	if !known {
-		o.list(now, a, old)
+	o.recordSample(now, a, load, max(sampleAge, time.Nanosecond))
+	if !inTable {
+		o.observeListed(now, a, sampleAge)
 	}
-	o.remindLeaving(a)
+	o.reapplyLeaving(a)
 }
 
-// checkDescriptor asks for a descriptor that changed. Models, adapters, role and
-// pool change within an incarnation, and an agent tells its homes only: without
-// this, other entries would send requests for what a server no longer has until
-// it refuses them, and none for what it loaded.
+// checkDescriptor requests a descriptor that changed. Models, adapters, role and
+// pool change within an incarnation, and an agent sends its descriptor only to
+// its homes. Without the request, other entries would send the server requests
+// for models that it no longer has until it refuses them, and none for the
+// models that it loaded.
 func (o *Observer) checkDescriptor(now time.Time, a *agent, row *wirepb.DigestRow, out *Effects) {
 	hash := row.GetDescriptor_()
 	if a.direct || a.descriptor == nil || hash == 0 || hash == a.hash {
 		return
 	}
-	if now.Sub(a.askedAt) >= describeAgain && o.askDescriptor(now, row, out) {
-		a.askedAt = now
+	if now.Sub(a.descriptorRequestedAt) >= describeRetryInterval && o.requestDescriptor(now, row, out) {
+		a.descriptorRequestedAt = now
 	}
 }
 
-// rowLoad restores a sample from a row, as far as a row tells.
-func rowLoad(row *wirepb.DigestRow, a *agent) backend.Load {
+// loadFromRow returns the part of a sample that a row contains.
+func loadFromRow(row *wirepb.DigestRow, a *agent) backend.Load {
 	capacity := a.load.Capacity
-	long := min(row.GetPrefillLongK(), row.GetPrefillK()) // a part of it
+	long := min(row.GetPrefillLongK(), row.GetPrefillK()) // a part of PrefillK
 	return backend.Load{
 		Running:      int32(row.GetRunning()),
 		PrefillShort: int64(row.GetPrefillK()-long) * kilo,
@@ -282,10 +291,10 @@
 	}
 }
 
-// askDescriptor asks an agent that a digest mentioned for its descriptor, unless
-// too many were asked of late.
-func (o *Observer) askDescriptor(now time.Time, row *wirepb.DigestRow, out *Effects) bool {
-	if row.GetPort() == 0 || !o.describe.AllowN(now, 1) {
+// requestDescriptor asks the agent of a row for its descriptor, within the rate
+// limit. It reports whether a request was sent.
+func (o *Observer) requestDescriptor(now time.Time, row *wirepb.DigestRow, out *Effects) bool {
+	if row.GetPort() == 0 || !o.describeLimiter.AllowN(now, 1) {
 		return false
 	}
 	var ip [4]byte
--- a/membership/effects.go
+++ b/membership/effects.go
@@ -12,25 +12,27 @@
 	Message *wirepb.Datagram
 }
 
-// Effects is what a step of a Reporter or an Observer asks of its runner.
+// Effects are the actions that a step of a Reporter or an Observer returns to
+// its runner.
 type Effects struct {
 	Send []Outgoing
 	// PullConfigFrom is the drpc address of an entry that has newer objects, or
 	// empty.
 	PullConfigFrom string
-	// PullConfigVersion is the version that PullConfig is to bring.
+	// PullConfigVersion is the version that the pull from PullConfigFrom should
+	// bring.
 	PullConfigVersion uint64
-	// PullPeersFrom is the drpc address of an entry to ask for the list of
-	// entries, or empty.
+	// PullPeersFrom is the drpc address of the entry to pull the list of entries
+	// from, or empty.
 	PullPeersFrom string
-	// PullServersFrom is the drpc address of an entry to ask for the backend servers
-	// whose home it is, or empty. ServersPulled must follow.
+	// PullServersFrom is the drpc address of the entry whose backend servers are
+	// to be pulled, or empty. The caller must call ServersPulled afterwards.
 	PullServersFrom string
-	// NewEvidence is crash evidence that was not known here yet.
+	// NewEvidence is crash evidence that wasn't known to this entry before.
 	NewEvidence []*wirepb.Evidence
 }
 
-// send adds a datagram. Without a valid address it adds nothing.
+// send adds a datagram. It does nothing if the address is invalid.
 func (e *Effects) send(to netip.AddrPort, m *wirepb.Datagram) {
 	if to.IsValid() {
 		e.Send = append(e.Send, Outgoing{To: to, Message: m})
@@ -61,8 +63,9 @@
 	return &wirepb.Datagram{Body: &wirepb.Datagram_Describe{Describe: &wirepb.DescribeRequest{Key: key}}}
 }
 
-// address parses an ip:port. It returns the zero address for anything else.
-func address(s string) netip.AddrPort {
+// parseAddrPort parses an ip:port. It returns the zero AddrPort for anything
+// else.
+func parseAddrPort(s string) netip.AddrPort {
 	a, err := netip.ParseAddrPort(s)
 	if err != nil {
 		return netip.AddrPort{}
--- a/membership/evidence.go
+++ b/membership/evidence.go
@@ -8,83 +8,84 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// Spreading crash evidence.
+// Limits of the propagation of crash evidence.
 const (
-	// evidenceFanout is how many peers an entry tells at once of evidence that
-	// is new to it.
+	// evidenceFanout is the number of peers that an entry sends new evidence to
+	// at once.
 	evidenceFanout = 3
-	// evidenceRounds is how many digests repeat it, for the peers that the
-	// first wave missed.
-	evidenceRounds = 12
-	// maxRumors bounds the evidence that is passed on at any one time.
-	maxRumors = 256
-	// evidenceBatch is the most that one datagram carries.
-	evidenceBatch = 24
-	// waveRate and waveBurst bound how often evidence is passed on at once;
-	// past it, only digests carry it.
-	waveRate  = 2
-	waveBurst = 16
-	// seenFor is how long evidence counts as known where it has no expiry.
-	seenFor = 10 * time.Minute
+	// evidenceRepeats is the number of digests that repeat a piece of evidence,
+	// for the peers that the first wave missed.
+	evidenceRepeats = 12
+	// maxEvidence bounds the evidence that is kept and relayed at any time.
+	maxEvidence = 256
+	// maxEvidencePerDatagram is the number of pieces of evidence in a datagram.
+	maxEvidencePerDatagram = 24
+	// relayRate, per second, and relayBurst bound how often evidence is relayed
+	// at once. Beyond them only digests carry it.
+	relayRate  = 2
+	relayBurst = 16
+	// maxEvidenceTTL is the longest time for which evidence is kept, and the
+	// default for evidence without an expiry.
+	maxEvidenceTTL = 10 * time.Minute
 )
 
-// rumorKey tells pieces of evidence apart. The same death reported again with
-// other counts is news.
-type rumorKey struct {
+// evidenceKey identifies a piece of evidence. The same death with other counts
+// is new evidence.
+type evidenceKey struct {
 	fingerprint, death uint64
 	deaths             uint32
 	quarantined        bool
 }
 
-// rumor is a piece of evidence that is known here.
-type rumor struct {
-	evidence *wirepb.Evidence
-	expires  time.Time
-	left     int // digests that will still repeat it
+// evidenceItem is a piece of evidence that this entry has.
+type evidenceItem struct {
+	evidence    *wirepb.Evidence
+	expires     time.Time
+	repeatsLeft int // digests that will still repeat it
 }
 
-// rumors is the evidence known here, bounded.
-type rumors struct {
-	known map[rumorKey]*rumor
-	hot   []*rumor // oldest first, left > 0
-	waves *rate.Limiter
+// evidenceSet is the evidence that this entry has. Its size is bounded.
+type evidenceSet struct {
+	known        map[evidenceKey]*evidenceItem
+	repeating    []*evidenceItem // oldest first, repeatsLeft > 0
+	relayLimiter *rate.Limiter
 }
 
-func newRumors() rumors {
-	return rumors{known: map[rumorKey]*rumor{}, waves: rate.NewLimiter(waveRate, waveBurst)}
+func newEvidenceSet() evidenceSet {
+	return evidenceSet{known: map[evidenceKey]*evidenceItem{}, relayLimiter: rate.NewLimiter(relayRate, relayBurst)}
 }
 
-// add notes evidence and returns what was new.
-func (r *rumors) add(now time.Time, list []*wirepb.Evidence) []*wirepb.Evidence {
+// add records evidence and returns the part that is new.
+func (r *evidenceSet) add(now time.Time, list []*wirepb.Evidence) []*wirepb.Evidence {
 	var fresh []*wirepb.Evidence
 	for _, e := range list {
-		key := rumorKey{e.GetFingerprint(), e.GetDeath(), e.GetDeaths(), e.GetQuarantined()}
+		key := evidenceKey{e.GetFingerprint(), e.GetDeath(), e.GetDeaths(), e.GetQuarantined()}
 		if old := r.known[key]; old != nil && now.Before(old.expires) {
 			continue
 		}
-		if len(r.known) >= maxRumors {
+		if len(r.known) >= maxEvidence {
 			r.expire(now)
 		}
-		if len(r.known) >= maxRumors {
-			// Told to the caller but not passed on: a flood of evidence must
-			// not take the memory of the entries.
+		if len(r.known) >= maxEvidence {
+			// Returned to the caller but not relayed: a flood of evidence must
+			// not exhaust the memory of the entries.
 			fresh = append(fresh, e)
 			continue
 		}
 		ttl := time.Duration(e.GetTtlMs()) * time.Millisecond
-		if ttl <= 0 || ttl > seenFor {
-			ttl = seenFor
+		if ttl <= 0 || ttl > maxEvidenceTTL {
+			ttl = maxEvidenceTTL
 		}
-		item := &rumor{evidence: e, expires: now.Add(ttl), left: evidenceRounds}
+		item := &evidenceItem{evidence: e, expires: now.Add(ttl), repeatsLeft: evidenceRepeats}
 		r.known[key] = item
-		r.hot = append(r.hot, item)
+		r.repeating = append(r.repeating, item)
 		fresh = append(fresh, e)
 	}
 	return fresh
 }
 
-// expire forgets what has run out.
-func (r *rumors) expire(now time.Time) {
+// expire removes evidence that has expired.
+func (r *evidenceSet) expire(now time.Time) {
 	for key, item := range r.known {
 		if !now.Before(item.expires) {
 			delete(r.known, key)
@@ -92,46 +93,48 @@
 	}
 }
 
-// next returns up to n pieces for a digest and counts them as repeated.
-func (r *rumors) next(now time.Time, n int) []*wirepb.Evidence {
+// next returns up to n pieces of evidence for a digest and counts them as
+// repeated.
+func (r *evidenceSet) next(now time.Time, n int) []*wirepb.Evidence {
 	var list []*wirepb.Evidence
-	var rest, again []*rumor
-	for _, item := range r.hot {
+	var rest, repeated []*evidenceItem
+	for _, item := range r.repeating {
 		switch {
-		case !now.Before(item.expires) || item.left == 0:
+		case !now.Before(item.expires) || item.repeatsLeft == 0:
 		case len(list) < n:
 			list = append(list, item.evidence)
-			item.left--
-			again = append(again, item)
+			item.repeatsLeft--
+			repeated = append(repeated, item)
 		default:
 			rest = append(rest, item)
 		}
 	}
-	r.hot = append(rest, again...)
+	r.repeating = append(rest, repeated...)
 	return list
 }
 
-// AddEvidence takes evidence that arose at this entry and tells some peers.
+// AddEvidence adds evidence that originated at this entry and sends it to some
+// peers.
 func (o *Observer) AddEvidence(now time.Time, list []*wirepb.Evidence) Effects {
 	var out Effects
-	o.learnEvidence(now, list, &out)
-	out.NewEvidence = nil // the caller has it
+	o.handleEvidence(now, list, &out)
+	out.NewEvidence = nil // the caller already has it
 	return out
 }
 
-// learnEvidence notes evidence and passes on at once what is new.
-func (o *Observer) learnEvidence(now time.Time, list []*wirepb.Evidence, out *Effects) {
-	fresh := o.rumors.add(now, list)
+// handleEvidence records evidence and relays the new part at once.
+func (o *Observer) handleEvidence(now time.Time, list []*wirepb.Evidence, out *Effects) {
+	fresh := o.evidence.add(now, list)
 	if len(fresh) == 0 {
 		return
 	}
 	out.NewEvidence = append(out.NewEvidence, fresh...)
-	if !o.rumors.waves.AllowN(now, 1) {
+	if !o.evidence.relayLimiter.AllowN(now, 1) {
 		return
 	}
-	for _, p := range o.peers.pick(o.cfg.Rand, evidenceFanout) {
-		for i := 0; i < len(fresh); i += evidenceBatch {
-			out.send(p.addr, evidenceMessage(fresh[i:min(i+evidenceBatch, len(fresh))]))
+	for _, p := range o.peers.pickLive(o.cfg.Rand, evidenceFanout) {
+		for i := 0; i < len(fresh); i += maxEvidencePerDatagram {
+			out.send(p.addr, evidenceMessage(fresh[i:min(i+maxEvidencePerDatagram, len(fresh))]))
 		}
 	}
 }
--- a/membership/example_test.go
+++ b/membership/example_test.go
@@ -11,23 +11,25 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// rows is a membership.Table that prints what it is told; a program that
-// routes keeps a backend.Table behind it.
-type rows struct{}
+// printingTable is a membership.Table that prints its calls. A program that
+// routes requests uses a backend.Table.
+type printingTable struct{}
 
-func (rows) Observe(d backend.Descriptor, _ uint64, load backend.Load, _ time.Time) {
+func (printingTable) Observe(d backend.Descriptor, _ uint64, load backend.Load, _ time.Time) {
 	fmt.Println(d.Name, "is known,", load.Running, "running")
 }
 
-func (rows) ObserveLoad(uint64, uint64, backend.Load, time.Duration, time.Time) bool { return true }
-func (rows) ObserveListed(backend.Descriptor, uint64, backend.Load, time.Duration, time.Time) {
+func (printingTable) ObserveLoad(uint64, uint64, backend.Load, time.Duration, time.Time) bool {
+	return true
 }
-func (rows) MarkSuspect(uint64) { fmt.Println("suspect") }
-func (rows) MarkLeaving(uint64) { fmt.Println("leaving") }
-func (rows) MarkDead(uint64)    { fmt.Println("dead") }
+func (printingTable) ObserveListed(backend.Descriptor, uint64, backend.Load, time.Duration, time.Time) {
+}
+func (printingTable) MarkSuspect(uint64) { fmt.Println("suspect") }
+func (printingTable) MarkLeaving(uint64) { fmt.Println("leaving") }
+func (printingTable) MarkDead(uint64)    { fmt.Println("dead") }
 
-// Reporter and Observer do no I/O: each step returns the datagrams to send, and
-// the caller carries them. AgentRunner and EntryRunner do it on sockets.
+// Reporter and Observer do no I/O. Each step returns the datagrams to send, and
+// the caller sends them. AgentRunner and EntryRunner do this on sockets.
 func Example() {
 	now := time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 	agentAddress := netip.MustParseAddrPort("10.0.0.1:7000")
@@ -36,7 +38,7 @@
 			Name: "entry-1", Region: "tas", Zone: "hobart", Incarnation: 1,
 			DatagramAddress: "10.0.1.1:7000", RpcAddress: "10.0.1.1:7001",
 		},
-		Table: rows{},
+		Table: printingTable{},
 		Rand:  rand.New(rand.NewPCG(1, 1)),
 	})
 	reporter := membership.NewReporter(membership.ReporterConfig{
@@ -52,7 +54,7 @@
 	fmt.Println("homes:", reporter.Homes())
 	for second := range 10 {
 		now = now.Add(time.Second)
-		if second < 3 { // then the agent is silent
+		if second < 3 { // after that the agent is silent
 			for _, out := range reporter.Tick(now, backend.Load{Running: 3}).Send {
 				for _, ack := range observer.Handle(now, agentAddress, out.Message).Send {
 					reporter.Handle(now, out.To, ack.Message)
--- a/membership/failure_test.go
+++ b/membership/failure_test.go
@@ -11,9 +11,9 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-const settled = 20 * time.Second
+const settleTime = 20 * time.Second
 
-// homesOf returns the entries that an agent reports to.
+// homesOf returns the entries that receive an agent's reports.
 func (c *cluster) homesOf(a *agentNode) []*entryNode {
 	var homes []*entryNode
 	for _, name := range a.Homes() {
@@ -31,12 +31,12 @@
 func (c *cluster) wantState(e *entryNode, a *agentNode, want backend.State) {
 	c.t.Helper()
 	if got := e.table.state(a.name()); got != want {
-		c.t.Errorf("%s believes state %d of %s, want %d", e.self.GetName(), got, a.name(), want)
+		c.t.Errorf("%s has state %d for %s, want %d", e.self.GetName(), got, a.name(), want)
 	}
 }
 
-// cut loses what goes from one address to another.
-func (c *cluster) cut(lost func(from, to netip.AddrPort) bool) {
+// dropIf drops the datagrams for which lost returns true.
+func (c *cluster) dropIf(lost func(from, to netip.AddrPort) bool) {
 	c.deliver = func(from, to netip.AddrPort) []time.Duration {
 		if lost(from, to) {
 			return nil
@@ -45,16 +45,16 @@
 	}
 }
 
-func (c *cluster) heal() {
-	c.cut(func(_, _ netip.AddrPort) bool { return false })
+func (c *cluster) dropNothing() {
+	c.dropIf(func(_, _ netip.AddrPort) bool { return false })
 }
 
 func TestEveryAgentIsKnownAtItsHomes(t *testing.T) {
 	c := newCluster(t, 8, 40, 4, 1)
-	c.run(settled)
+	c.run(settleTime)
 	for _, a := range c.agents {
 		homes := c.homesOf(a)
-		if len(homes) != fewHomes {
+		if len(homes) != homesPerAgent {
 			t.Fatalf("%s has homes %v", a.name(), a.Homes())
 		}
 		for _, e := range homes {
@@ -63,41 +63,39 @@
 	}
 }
 
-// Symptom: an entry holds a healthy server for suspect and sends it nothing.
-// Sequence: the link from one agent to one of its homes is cut, that back isn't;
-// its other home hears it and passes its load on.
-// Cause: the entry trusts only what it hears itself.
-func TestAgentHeardByAnotherHomeStaysLive(t *testing.T) {
+// An entry must not suspect a healthy server whose samples arrive by another
+// home. Here the link from an agent to one of its homes fails in that direction
+// only. The other home receives the reports and relays the load.
+func TestAgentSeenByAnotherHomeStaysLive(t *testing.T) {
 	c := newCluster(t, 4, 4, 1, 2)
-	c.run(settled)
+	c.run(settleTime)
 	a := c.agents[0]
 	home := c.homesOf(a)[0]
-	c.cut(func(from, to netip.AddrPort) bool { return from == a.addr && to == home.addr })
+	c.dropIf(func(from, to netip.AddrPort) bool { return from == a.addr && to == home.addr })
 	c.run(time.Minute)
-	a.load.PrefillShort = 0 // least loaded, so that digests mention it
+	a.load.PrefillShort = 0 // least loaded, so that digests contain it
 	c.run(time.Minute)
 	c.wantState(home, a, backend.StateLive)
 }
 
-// Symptom: an entry is taken off the list of entries although it serves.
-// Sequence: the link from entry 1 to entry 0 is cut in that direction only.
-// Cause: one observer's silence is taken for death.
-func TestAsymmetricLinkKillsNobody(t *testing.T) {
+// An entry must not be removed from the list of entries because a single other
+// entry misses it. Here the link from entry 1 to entry 0 fails in that direction
+// only.
+func TestAsymmetricLinkMarksNoEntryDead(t *testing.T) {
 	c := newCluster(t, 5, 0, 1, 3)
-	c.run(settled)
-	c.cut(func(from, to netip.AddrPort) bool { return from == entryAddr(1) && to == entryAddr(0) })
+	c.run(settleTime)
+	c.dropIf(func(from, to netip.AddrPort) bool { return from == entryAddr(1) && to == entryAddr(0) })
 	c.run(5 * time.Minute)
 	if n := len(c.entries[0].Peers()); n != 5 {
 		t.Fatalf("%d entries listed, want 5", n)
 	}
 }
 
-// Symptom: agents go on reporting to an entry that is gone, or entries list it.
-// Sequence: an entry dies for good.
-// Cause: none of the others concludes from silence.
-func TestDeadEntryIsAgreedOnAndReplacedAsHome(t *testing.T) {
+// A dead entry must be removed from all lists of entries and replaced as a home.
+// Otherwise agents would keep reporting to it.
+func TestDeadEntryIsDelistedAndReplacedAsHome(t *testing.T) {
 	c := newCluster(t, 6, 30, 2, 4)
-	c.run(settled)
+	c.run(settleTime)
 	dead := c.entries[2]
 	dead.dead = true
 	c.run(3 * time.Minute)
@@ -107,21 +105,20 @@
 		}
 	}
 	for _, a := range c.agents {
-		if slices.Contains(a.Homes(), dead.self.GetName()) || len(a.Homes()) != fewHomes {
+		if slices.Contains(a.Homes(), dead.self.GetName()) || len(a.Homes()) != homesPerAgent {
 			t.Errorf("%s has homes %v", a.name(), a.Homes())
 		}
 	}
 }
 
-// Symptom: two entries of a deployment with three take each other for dead.
-// Sequence: one entry's own network is cut; it hears nobody for an hour.
-// Cause: an entry that hears nobody judges the others by its own silence.
-func TestIsolatedEntryDeclaresNobodyDead(t *testing.T) {
+// An entry of three whose network is cut for an hour must not mark the others
+// dead because of its own isolation.
+func TestIsolatedEntryMarksNothingDead(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 3, 6, 1, 5)
-	c.run(settled)
+	c.run(settleTime)
 	alone := c.entries[0]
-	c.cut(func(from, to netip.AddrPort) bool { return (from == alone.addr) != (to == alone.addr) })
+	c.dropIf(func(from, to netip.AddrPort) bool { return (from == alone.addr) != (to == alone.addr) })
 	c.run(time.Hour)
 	if n := len(alone.Peers()); n != 3 {
 		t.Errorf("%d entries listed, want 3", n)
@@ -129,19 +126,19 @@
 	for _, a := range c.agents {
 		c.wantState(alone, a, backend.StateSuspect)
 	}
-	c.heal()
+	c.dropNothing()
 	c.run(time.Minute)
 	for _, a := range c.agents {
 		c.wantState(alone, a, backend.StateLive)
 	}
 }
 
-// Symptom: for a moment an entry has no server to choose and refuses all.
-// Sequence: the entry's process is paused for two minutes and wakes.
-// Cause: its clock ran on while it heard nobody, so all seem silent.
-func TestPausedEntryWakesWithItsTable(t *testing.T) {
+// After a pause of two minutes an entry must not mark all servers dead. Its
+// clock ran on while it received nothing, so it would refuse all requests for a
+// moment.
+func TestPausedEntryKeepsItsTable(t *testing.T) {
 	c := newCluster(t, 3, 6, 1, 6)
-	c.run(settled)
+	c.run(settleTime)
 	e := c.entries[0]
 	e.paused = true
 	c.run(2 * time.Minute)
@@ -152,12 +149,12 @@
 	}
 }
 
-// Symptom: an entry that was paused stays off the list of entries for good.
-// Sequence: it is paused until the others agree that it is dead, then wakes.
-// Cause: a suspicion goes round and outlives the entry's return.
-func TestPausedEntryComesBack(t *testing.T) {
+// An entry that the others marked dead during a pause must be listed again
+// afterwards. A suspicion that was relayed among the others must not outlive its
+// return.
+func TestPausedEntryIsListedAgain(t *testing.T) {
 	c := newCluster(t, 6, 12, 1, 7)
-	c.run(settled)
+	c.run(settleTime)
 	e := c.entries[0]
 	e.paused = true
 	c.run(3 * time.Minute)
@@ -173,19 +170,19 @@
 	}
 }
 
-// Symptom: when a zone comes back its agents report in step, and every period
-// brings a burst that drops datagrams.
-// Sequence: half of the agents are cut off for four minutes, until entries
-// hold them for dead, and return at once.
-// Cause: agents send when the link returns, or keep the phase of a common start.
-func TestReturningZoneReportsStaggered(t *testing.T) {
+// The agents of a zone must not report in step after its return, since each
+// period would bring a burst that drops datagrams. Here half of the agents are
+// cut off for four minutes, until the entries mark them dead, and return at the
+// same time. They reported in step if they sent at the moment of the return or
+// kept the phase of a common start.
+func TestAgentsOfRestoredZoneReportStaggered(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, 4, 200, 2, 8)
-	c.run(settled)
-	gone := func(a netip.AddrPort) bool { return c.agentAt(a) >= 0 && c.agentAt(a) < 100 }
-	c.cut(func(from, to netip.AddrPort) bool { return gone(from) || gone(to) })
+	c.run(settleTime)
+	gone := func(a netip.AddrPort) bool { return c.agentIndex(a) >= 0 && c.agentIndex(a) < 100 }
+	c.dropIf(func(from, to netip.AddrPort) bool { return gone(from) || gone(to) })
 	c.run(4 * time.Minute)
-	c.heal()
+	c.dropNothing()
 	perStep := map[time.Time]int{}
 	c.deliver = func(from, _ netip.AddrPort) []time.Duration {
 		if gone(from) {
@@ -209,60 +206,57 @@
 	}
 }
 
-// Symptom: a restarted server is shown with the load, or the drain flag, of its
-// former life.
-// Sequence: an agent sends a report with the drain flag and restarts; its Hello
-// arrives; the old report arrives late.
-// Cause: samples are taken in the order of arrival.
-func TestLateReportOfFormerLifeIsDropped(t *testing.T) {
+// A late report of a previous incarnation must be dropped. An agent sends a
+// report with the drain flag and restarts, its Hello arrives, and then the old
+// report. If samples were applied in the order of arrival, the restarted server
+// would get the old load and drain flag.
+func TestLateReportOfOldIncarnationIsDropped(t *testing.T) {
 	c := newCluster(t, 3, 1, 1, 9)
-	c.run(settled)
+	c.run(settleTime)
 	a, e := c.agents[0], c.entries[0]
-	old := a.message(a.entries[e.key], backend.Load{Draining: true, Sequence: a.sequence + 1})
+	old := a.reportOrHello(a.entries[e.key], backend.Load{Draining: true, Sequence: a.sequence + 1})
 	c.run(time.Second)
 	c.startAgent(0, 1)
-	c.run(settled)
+	c.run(settleTime)
 	before := e.oldIncarnation.Count()
-	c.entryEffects(e, e.Handle(c.now, a.addr, old))
+	c.applyEntry(e, e.Handle(c.now, a.addr, old))
 	if e.table.rows[wire.Key(a.name())].load.Draining {
-		t.Error("the former life's drain flag was taken")
+		t.Error("the drain flag of the previous incarnation was applied")
 	}
 	if n := e.oldIncarnation.Count() - before; n != 1 {
 		t.Errorf("old incarnation counted %d times, want 1", n)
 	}
-	c.run(settled)
-	if a.raised.Count() != 0 {
-		t.Error("the late report made the new life raise its incarnation")
+	c.run(settleTime)
+	if a.incarnationRaised.Count() != 0 {
+		t.Error("the late report made the agent raise its new incarnation")
 	}
 }
 
-// Symptom: after a restart an agent is never heard again.
-// Sequence: its VM's clock stood an hour lower at the second start.
-// Cause: its new incarnation is less than the one that entries know.
-func TestRestartWithClockBehindIsHeard(t *testing.T) {
+// An agent whose clock is an hour lower at its restart must be accepted again,
+// although its new incarnation is lower than the one that the entries have.
+func TestRestartWithClockBehindIsAccepted(t *testing.T) {
 	c := newCluster(t, 3, 1, 1, 10)
-	c.run(settled)
+	c.run(settleTime)
 	a := c.agents[0]
 	now := c.now
 	c.now = now.Add(-time.Hour)
 	c.startAgent(0, 1)
 	c.now = now
 	a.load.Running = 77
-	c.run(settled)
+	c.run(settleTime)
 	for _, e := range c.entries {
 		if row := e.table.rows[wire.Key(a.name())]; row.load.Running != 77 || row.state != backend.StateLive {
-			t.Errorf("%s has %+v", e.self.GetName(), row)
+			t.Errorf("%s has row %+v", e.self.GetName(), row)
 		}
 	}
 }
 
-// Symptom: agents that lost all their entries are never heard again.
-// Sequence: every entry's VM is replaced while the agents run; the seeds'
-// addresses now belong to entries with other names.
-// Cause: an agent keeps only the list it once had.
+// Agents must find new entries after all known ones were replaced while the
+// agents ran. The seeds' addresses then belong to entries with other names, so
+// the old list of entries is useless.
 func TestAllHomesReplaced(t *testing.T) {
 	c := newCluster(t, 3, 5, 1, 11)
-	c.run(settled)
+	c.run(settleTime)
 	c.run(time.Second)
 	for i := range c.entries {
 		fresh := c.newEntry(i)
@@ -281,12 +275,12 @@
 	}
 }
 
-// Symptom: a server gets new work long after it began to drain.
-// Sequence: the drain flag is set; a third of all datagrams is lost.
-// Cause: the flag waits for the next period, or is sent once and lost.
-func TestDrainIsKnownWithinSeconds(t *testing.T) {
+// A drain flag must reach the entries within seconds although a third of all
+// datagrams is lost. It came late if it waited for the next period or was sent
+// only once.
+func TestDrainReachesEntriesWithinSeconds(t *testing.T) {
 	c := newCluster(t, 3, 24, 2, 12)
-	c.run(settled)
+	c.run(settleTime)
 	c.deliver = func(_, _ netip.AddrPort) []time.Duration {
 		if c.rnd.IntN(3) == 0 {
 			return nil
@@ -298,37 +292,35 @@
 	c.run(3 * time.Second)
 	for _, e := range c.entries {
 		if !e.table.rows[wire.Key(a.name())].load.Draining {
-			t.Errorf("%s doesn't know after 3 s", e.self.GetName())
+			t.Errorf("%s hasn't received the drain after 3 s", e.self.GetName())
 		}
 	}
 }
 
-// Symptom: an entry's picture of a backend server stands still, full of work
-// that has long ended.
-// Sequence: an answer carries the agent's load, whose number counts every look
-// at it; then reports follow.
-// Cause: the reports are numbered by themselves and pass for older.
-func TestReportsFollowTheNumbersOfAnswers(t *testing.T) {
+// Reports must continue the sequence of the load in answers. An answer carries
+// the agent's load, whose sequence counts every reading of it. If reports had a
+// sequence of their own, an entry would drop them as older, and its data of the
+// server would stay unchanged, with work that ended long ago.
+func TestReportsContinueLoadSequence(t *testing.T) {
 	c := newCluster(t, 3, 6, 1, 14)
-	c.run(settled)
+	c.run(settleTime)
 	a := c.agents[0]
-	const looks = 1_000_000 // far more than reports were sent
-	a.load.Sequence = looks
-	c.run(settled)
+	const readings = 1_000_000 // far more than the number of reports
+	a.load.Sequence = readings
+	c.run(settleTime)
 	for _, e := range c.homesOf(a) {
-		if got := e.table.rows[wire.Key(a.name())].load.Sequence; got < looks {
-			t.Errorf("%s has a report numbered %d, an answer had %d", e.self.GetName(), got, looks)
+		if got := e.table.rows[wire.Key(a.name())].load.Sequence; got < readings {
+			t.Errorf("%s has a report with sequence %d, an answer had %d", e.self.GetName(), got, readings)
 		}
 	}
 }
 
-// Symptom: entries choose a backend server whose agent has ended.
-// Sequence: an idle agent is told to stop while a third of all datagrams is
-// lost; it ends as soon as its reporter says that the entries know.
-// Cause: the reporter says so before its homes have acknowledged the flag.
-func TestDrainIsToldOnceTheHomesKnow(t *testing.T) {
+// DrainReported must not return true before the homes have acknowledged the
+// flag. An idle agent stops as soon as it does, and entries would choose a
+// server without an agent. A third of all datagrams is lost here.
+func TestDrainReportedAfterHomesAcknowledge(t *testing.T) {
 	c := newCluster(t, 3, 24, 2, 13)
-	c.run(settled)
+	c.run(settleTime)
 	c.deliver = func(_, _ netip.AddrPort) []time.Duration {
 		if c.rnd.IntN(3) == 0 {
 			return nil
@@ -338,7 +330,7 @@
 	a := c.agents[0]
 	a.load.Draining = true
 	if a.DrainReported() {
-		t.Fatal("told before anything was sent")
+		t.Fatal("the drain is reported as sent before any report")
 	}
 	for range 300 {
 		if a.DrainReported() {
@@ -347,37 +339,35 @@
 		c.run(10 * time.Millisecond)
 	}
 	if !a.DrainReported() {
-		t.Fatal("not told after 3 s")
+		t.Fatal("the drain isn't reported as sent after 3 s")
 	}
 	for _, e := range c.homesOf(a) {
 		if !e.table.rows[wire.Key(a.name())].load.Draining {
-			t.Errorf("%s doesn't know", e.self.GetName())
+			t.Errorf("%s hasn't received the drain", e.self.GetName())
 		}
 	}
 }
 
-// Symptom: a leaving VM gets new work because its agent still reports, or its
-// replacement of the same name gets none.
-// Sequence: the VM list names it; reports go on; a new life says hello.
-// Cause: a report makes the row live, or the lagging list outlives the VM.
-func TestLeavingHintHoldsForOneLife(t *testing.T) {
+// A leaving mark must survive further reports, which set the row to live, and
+// end with the incarnation. Otherwise a leaving VM would get new work, or a
+// replacement with the same name would get none, since the VM list lags.
+func TestLeavingAppliesToOneIncarnation(t *testing.T) {
 	c := newCluster(t, 3, 2, 1, 13)
-	c.run(settled)
+	c.run(settleTime)
 	a, e := c.agents[0], c.entries[0]
 	e.MarkLeaving([]string{a.name()})
-	c.run(settled)
+	c.run(settleTime)
 	c.wantState(e, a, backend.StateLeaving)
 	c.startAgent(0, 1)
-	c.run(settled)
+	c.run(settleTime)
 	c.wantState(e, a, backend.StateLive)
 }
 
-// Symptom: a dead server stays among the candidates.
-// Sequence: an agent dies without a word.
-// Cause: nobody concludes from silence.
+// An agent that dies without a message must become suspect and then dead.
+// Otherwise its server would remain a candidate.
 func TestSilentAgentIsSuspectThenDead(t *testing.T) {
 	c := newCluster(t, 3, 6, 1, 14)
-	c.run(settled)
+	c.run(settleTime)
 	a, e := c.agents[0], c.entries[0]
 	a.dead = true
 	c.run(4 * a.Period())
@@ -386,38 +376,35 @@
 	c.wantState(e, a, backend.StateDead)
 }
 
-// Symptom: configuration is old somewhere for long after it was accepted.
-// Sequence: one entry has a newer version; the store is of no help.
-// Cause: versions aren't passed on.
+// A newer configuration version at one entry must reach the other entries and
+// the agents without the store.
 func TestNewerConfigIsPulled(t *testing.T) {
 	c := newCluster(t, 3, 6, 1, 15)
-	c.run(settled)
-	c.change("pool-0", c.entries[0])
+	c.run(settleTime)
+	c.changeConfig("pool-0", c.entries[0])
 	c.run(9 * time.Second)
 	for _, e := range c.entries[1:] {
-		if e.pulls == 0 {
-			t.Errorf("%s doesn't know of the newer version", e.self.GetName())
+		if e.configPulls == 0 {
+			t.Errorf("%s didn't pull the newer version", e.self.GetName())
 		}
 	}
 	for _, a := range c.agents {
-		if a.pulls == 0 {
-			t.Errorf("%s doesn't know of the newer version", a.name())
+		if a.configPulls == 0 {
+			t.Errorf("%s didn't pull the newer version", a.name())
 		}
 	}
 }
 
-func samplesOfEvidence() []*wirepb.Evidence {
+func sampleEvidence() []*wirepb.Evidence {
 	return []*wirepb.Evidence{{Fingerprint: 1, Death: 2, Deaths: 1, TtlMs: 600_000}}
 }
 
-// Symptom: a crashing prompt kills engines through entries that didn't hear of
-// it.
-// Sequence: one entry of a region of 86 learns of the death; a fifth of all
-// datagrams is lost.
-// Cause: evidence isn't passed on widely or soon enough.
-func TestEvidenceReachesTheRegion(t *testing.T) {
+// Evidence of a death at one entry of a region of 86 must reach all others soon,
+// although a fifth of all datagrams is lost. Otherwise a prompt that crashes
+// engines would kill more of them through entries without the evidence.
+func TestEvidenceReachesAllEntries(t *testing.T) {
 	c := newCluster(t, 86, 0, 1, 16)
-	c.run(settled)
+	c.run(settleTime)
 	c.deliver = func(_, _ netip.AddrPort) []time.Duration {
 		if c.rnd.IntN(5) == 0 {
 			return nil
@@ -425,33 +412,31 @@
 		return []time.Duration{linkDelay}
 	}
 	e := c.entries[0]
-	c.entryEffects(e, e.AddEvidence(c.now, samplesOfEvidence()))
+	c.applyEntry(e, e.AddEvidence(c.now, sampleEvidence()))
 	c.run(9 * time.Second)
 	for _, other := range c.entries[1:] {
-		if other.evidence == 0 {
-			t.Errorf("%s doesn't know after 9 s", other.self.GetName())
+		if other.evidenceReceived == 0 {
+			t.Errorf("%s hasn't received the evidence after 9 s", other.self.GetName())
 		}
-		if other.evidence > 1 {
-			t.Errorf("%s was told %d times", other.self.GetName(), other.evidence)
+		if other.evidenceReceived > 1 {
+			t.Errorf("%s received the evidence %d times", other.self.GetName(), other.evidenceReceived)
 		}
 	}
 }
 
-// Symptom: after a cut between two zones their entries never list each other
-// again.
-// Sequence: a region's entries are cut into halves until each half holds the
-// other for dead; the link returns.
-// Cause: nobody sends to an entry that is held for dead.
-func TestHalvesFindEachOtherAgain(t *testing.T) {
+// The halves of a partitioned region must list each other again after the
+// partition ends. They never would if nobody sent anything to entries that are
+// marked dead.
+func TestPartitionedHalvesRejoin(t *testing.T) {
 	c := newCluster(t, 6, 0, 1, 17)
-	c.run(settled)
+	c.run(settleTime)
 	half := func(a netip.AddrPort) bool { return a.Addr().As4()[3] < 3 }
-	c.cut(func(from, to netip.AddrPort) bool { return half(from) != half(to) })
+	c.dropIf(func(from, to netip.AddrPort) bool { return half(from) != half(to) })
 	c.run(5 * time.Minute)
 	if n := len(c.entries[0].Peers()); n != 3 {
-		t.Fatalf("%d entries listed while cut, want 3", n)
+		t.Fatalf("%d entries listed during the partition, want 3", n)
 	}
-	c.heal()
+	c.dropNothing()
 	c.run(2 * time.Minute)
 	for _, e := range c.entries {
 		if n := len(e.Peers()); n != 6 {
@@ -460,14 +445,13 @@
 	}
 }
 
-// Symptom: a fleet that starts at once reports in step.
-// Sequence: 200 agents start in the same moment.
-// Cause: the first report goes out at the start.
-func TestStartIsStaggered(t *testing.T) {
+// 200 agents that start at the same moment must not report in step. They did if
+// the first report was sent at the start.
+func TestInitialReportsAreStaggered(t *testing.T) {
 	c := newCluster(t, 4, 200, 2, 18)
 	perStep := map[time.Time]int{}
 	c.deliver = func(from, _ netip.AddrPort) []time.Duration {
-		if c.agentAt(from) >= 0 {
+		if c.agentIndex(from) >= 0 {
 			perStep[c.now]++
 		}
 		return []time.Duration{linkDelay}
@@ -480,24 +464,23 @@
 	}
 }
 
-// Symptom: an entry goes on choosing a server that took on much work.
-// Sequence: a server's load jumps just after a report.
-// Cause: the news waits for the next period.
-func TestJumpIsReportedOutOfTurn(t *testing.T) {
+// A jump of the load just after a report must be reported before the next
+// period. Otherwise entries would keep choosing a server that took on much work.
+func TestLoadJumpIsReportedEarly(t *testing.T) {
 	c := newCluster(t, 3, 24, 1, 19)
-	c.run(settled)
+	c.run(settleTime)
 	a := c.agents[0]
-	for a.sentAt != c.now {
+	for a.lastSentAt != c.now {
 		c.run(clusterStep)
 	}
 	a.load.PrefillShort = 300_000
 	c.run(5 * clusterStep)
 	if a.Period() < time.Second {
-		t.Fatal("the period is so short that the test shows nothing")
+		t.Fatal("the report period is too short for this test")
 	}
 	for _, e := range c.entries {
 		if got := e.table.rows[wire.Key(a.name())].load.PrefillShort; got != 300_000 {
-			t.Errorf("%s has %d tokens", e.self.GetName(), got)
+			t.Errorf("%s has %d tokens of short prefill, want 300000", e.self.GetName(), got)
 		}
 	}
 }
--- a/membership/homes.go
+++ b/membership/homes.go
@@ -11,41 +11,41 @@
 )
 
 const (
-	// allHomes is the number of entries up to which every entry is a home:
-	// each then hears every agent itself.
-	allHomes = 3
-	// fewHomes is the number of homes where there are more entries. Two, so
-	// that one can fail without the agent being unheard.
-	fewHomes = 2
+	// maxEntriesAllHomes is the number of entries up to which every entry is a
+	// home and receives the reports of every agent.
+	maxEntriesAllHomes = 3
+	// homesPerAgent is the number of homes of an agent where there are more
+	// entries. With two, one can fail while the other still receives reports.
+	homesPerAgent = 2
 )
 
-// HomeCount returns how many homes an agent has among n entries.
+// HomeCount returns the number of homes that an agent has among n entries.
 func HomeCount(n int) int {
-	if n <= allHomes {
+	if n <= maxEntriesAllHomes {
 		return n
 	}
-	return fewHomes
+	return homesPerAgent
 }
 
-// Rank returns the n entries that are preferred as homes of an agent, best
-// first. Removing an entry leaves the order of the others as it was.
+// Rank returns the n preferred homes of an agent among the entries, best first.
+// Removing an entry doesn't change the order of the others.
 //
-// The library is asked anew for each place: its own Remove may be called only
-// once, since it leaves the index of the node that it moves as it was.
+// A new rendezvous hash is built for each place. The library's Remove works only
+// once, since it doesn't update the index of the node that it moves.
 func Rank(agent string, entries []string, n int) []string {
-	left := slices.Clone(entries)
+	remaining := slices.Clone(entries)
 	ranked := make([]string, 0, n)
-	for len(left) > 0 && len(ranked) < n {
-		first := rendezvous.New(slices.Clone(left), xxhash.Sum64String).Lookup(agent)
-		ranked = append(ranked, first)
-		i := slices.Index(left, first)
-		left = slices.Delete(left, i, i+1)
+	for len(remaining) > 0 && len(ranked) < n {
+		best := rendezvous.New(slices.Clone(remaining), xxhash.Sum64String).Lookup(agent)
+		ranked = append(ranked, best)
+		i := slices.Index(remaining, best)
+		remaining = slices.Delete(remaining, i, i+1)
 	}
 	return ranked
 }
 
-// PeersVersion identifies a set of entries. It is equal wherever the set is,
-// and is never zero.
+// PeersVersion returns a hash that identifies a set of entries. Equal sets have
+// the same version. It is never zero.
 func PeersVersion(peers []*wirepb.Peer) uint64 {
 	lines := make([]string, 0, len(peers))
 	for _, p := range peers {
--- a/membership/lists.go
+++ b/membership/lists.go
@@ -6,37 +6,39 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// listSpread is the time over which agents pull a changed list of entries, for
-// each entry past allHomes. A home's share of the agents is the same in a region
-// of any size, its list is not: at 86 entries 28 agents pull 6 KB each, which in
-// one report period takes ten times the budget. A changed list is not urgent: a
-// home that drains says so in its answers, one that died is missed by them, and a
-// new entry knows the backend servers from the others meanwhile.
-const listSpread = 7 * time.Second
+// peerListSpread is the time over which agents pull a changed list of entries,
+// for each entry above maxEntriesAllHomes. A home's number of agents is the same
+// in a region of any size, but the list grows with the region: at 86 entries 28
+// agents pull 6 KB each, which takes ten times the budget if it happens within
+// one report period. A changed list isn't urgent. A home that drains says so in
+// its answers, agents detect a home that died by themselves, and a new entry
+// gets the backend servers from other entries in the meantime.
+const peerListSpread = 7 * time.Second
 
-// listOffered takes the version of a home's list of entries, and pulls the list
-// where it is new here.
-func (r *Reporter) listOffered(now time.Time, h *home, version uint64, out *Effects) {
-	if version == 0 || version == h.pulled {
+// handlePeersVersion processes the version of a home's list of entries. If this
+// agent doesn't have that list, it is pulled, at once or when the pull is due.
+func (r *Reporter) handlePeersVersion(now time.Time, h *entryState, version uint64, out *Effects) {
+	if version == 0 || version == h.peersVersion {
 		return
 	}
-	if list := r.listOf(version); list != nil {
-		due := r.listAt // a pull of a still newer list stays due
+	if list := r.findPeerList(version); list != nil {
+		due := r.peersPullAt // a pending pull of a newer list stays due
 		r.SetPeers(h.name, list)
-		r.listAt = due
+		r.peersPullAt = due
 		return
 	}
-	if h.pulled != 0 && r.listAt.IsZero() {
-		r.listAt = now.Add(r.spread(listSpread * time.Duration(max(len(r.ranked)-allHomes, 0))))
+	if h.peersVersion != 0 && r.peersPullAt.IsZero() {
+		r.peersPullAt = now.Add(r.randomPart(peerListSpread * time.Duration(max(len(r.ranked)-maxEntriesAllHomes, 0))))
 	}
-	if h.pulled == 0 || r.homeSuspect() || !now.Before(r.listAt) {
-		out.PullPeersFrom = h.rpc
+	if h.peersVersion == 0 || r.anyHomeSuspect() || !now.Before(r.peersPullAt) {
+		out.PullPeersFrom = h.rpcAddr
 	}
 }
 
-// listOf returns the list of a version if an entry gave it, else nil.
-func (r *Reporter) listOf(version uint64) []*wirepb.Peer {
-	for _, list := range r.sources {
+// findPeerList returns the list with a version if an entry has sent it, and nil
+// otherwise.
+func (r *Reporter) findPeerList(version uint64) []*wirepb.Peer {
+	for _, list := range r.peerLists {
 		if PeersVersion(list) == version {
 			return list
 		}
@@ -44,8 +46,8 @@
 	return nil
 }
 
-// homeSuspect tells whether one of the homes doesn't answer.
-func (r *Reporter) homeSuspect() bool {
+// anyHomeSuspect reports whether a home is suspect.
+func (r *Reporter) anyHomeSuspect() bool {
 	for _, h := range r.active {
 		if h.suspect {
 			return true
--- a/membership/lists_test.go
+++ b/membership/lists_test.go
@@ -12,8 +12,8 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// listEntries are entries 0 to n-1 of a region.
-func listEntries(n int) []*wirepb.Peer {
+// newPeerList returns entries 0 to n-1 of a region.
+func newPeerList(n int) []*wirepb.Peer {
 	var list []*wirepb.Peer
 	for i := range n {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 7001)
@@ -25,20 +25,20 @@
 	return list
 }
 
-// offer is an entry's answer that names its list.
-func offer(r *Reporter, home string, version uint64, now time.Time) Effects {
+// ackPeersVersion passes a home's answer with a version of its list to r.
+func ackPeersVersion(r *Reporter, home string, version uint64, now time.Time) Effects {
 	return r.Handle(now, netip.AddrPort{}, &wirepb.Datagram{Body: &wirepb.Datagram_Ack{Ack: &wirepb.ReportAck{
 		Entry: wire.Key(home), EntryIncarnation: 1, PeersVersion: version,
 	}}})
 }
 
-// Symptom: a home sends many times its budget when one entry comes or goes.
-// Sequence: an entry is replaced; each agent of the region hears of a changed
-// list with its next answer, and pulls all of it from each of its homes.
-// Cause: a pull as soon as a list is offered, and for each home anew.
-func TestChangedListIsPulledOnceAndSpread(t *testing.T) {
+// When one entry is replaced, all agents of the region learn of a changed list
+// with their next answers. Each must pull it once, and at different times. A
+// home sent many times its budget if agents pulled as soon as a version was
+// offered, and separately from each of their homes.
+func TestChangedPeerListIsPulledOnceOverTime(t *testing.T) {
 	const agents, entries, minute = 40, 86, 60
-	old, changed := listEntries(entries), listEntries(entries+1)
+	old, changed := newPeerList(entries), newPeerList(entries+1)
 	oldVersion, changedVersion := PeersVersion(old), PeersVersion(changed)
 	began := time.Unix(1_700_000_000, 0)
 	perMinute := map[int]int{}
@@ -49,7 +49,7 @@
 		})
 		r.SetPeers("entry-0", old)
 		for _, home := range r.Homes() {
-			if out := offer(r, home, oldVersion, began); out.PullPeersFrom != "" {
+			if out := ackPeersVersion(r, home, oldVersion, began); out.PullPeersFrom != "" {
 				t.Fatalf("agent %d pulls from %s a list that it has", i, home)
 			}
 		}
@@ -57,7 +57,7 @@
 		for second := 0; second < 20*minute; second += 20 {
 			now := began.Add(time.Duration(second) * time.Second)
 			for _, home := range r.Homes() {
-				if offer(r, home, changedVersion, now).PullPeersFrom == "" {
+				if ackPeersVersion(r, home, changedVersion, now).PullPeersFrom == "" {
 					continue
 				}
 				pulls++
@@ -76,11 +76,10 @@
 	}
 }
 
-// Symptom: agents go on with a home that is dead, and with others that are.
-// Sequence: entries die; the list without them waits to be pulled.
-// Cause: a delay that doesn't ask whether a home answers.
-func TestChangedListIsPulledAtOnceWhereAHomeIsSilent(t *testing.T) {
-	old := listEntries(86)
+// If a home is silent, a changed list must be pulled at once. With the usual
+// delay, agents would keep reporting to dead entries.
+func TestChangedPeerListIsPulledAtOnceIfHomeIsSilent(t *testing.T) {
+	old := newPeerList(86)
 	r := NewReporter(ReporterConfig{
 		Descriptor:  backend.Descriptor{Name: "briar-1", Region: "tas"},
 		Incarnation: 1, Rand: rand.New(rand.NewPCG(1, 1)),
@@ -88,12 +87,12 @@
 	r.SetPeers("entry-0", old)
 	now := time.Unix(1_700_000_000, 0)
 	homes := r.Homes()
-	for range 2 * suspectUnacked {
+	for range 2 * suspectAfterUnacked {
 		now = now.Add(time.Minute)
 		r.Tick(now, backend.Load{})
-		offer(r, homes[0], PeersVersion(old), now)
+		ackPeersVersion(r, homes[0], PeersVersion(old), now)
 	}
-	if out := offer(r, homes[0], PeersVersion(listEntries(85)), now); out.PullPeersFrom == "" {
-		t.Error("the list isn't pulled though a home is silent")
+	if out := ackPeersVersion(r, homes[0], PeersVersion(newPeerList(85)), now); out.PullPeersFrom == "" {
+		t.Error("the list wasn't pulled although a home is silent")
 	}
 }
--- a/membership/main_test.go
+++ b/membership/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain gives the properties a fixed seed, so that each run has the same
-// verdict. A seed given with -rapid.seed is kept.
+// TestMain gives the property tests a fixed seed, so that each run has the same
+// result. A seed given with -rapid.seed takes precedence.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
--- a/membership/news.go
+++ b/membership/news.go
@@ -2,47 +2,48 @@
 
 import "time"
 
-// Pulling configuration.
+// Limits of the pulls of configuration by an agent.
 const (
-	// pullEvery is the least time between two pulls of an agent. In a burst of
-	// changes it pulls once for all that came in between.
-	pullEvery = 2 * time.Second
-	// pullLimit bounds one pull. Where segments are lost, a new connection
-	// after 2 s is sooner through than the third SYN of the old one, after 3 s.
-	// It ends before the next try, which would be left out otherwise.
-	pullLimit = pullEvery - 2*tickInterval
-	// pullTries is how often an agent pulls for one offer. The answer to each
-	// of its reports is a further offer.
-	pullTries = 3
+	// minPullInterval is the least time between two pulls of an agent. A burst
+	// of changes is pulled at once.
+	minPullInterval = 2 * time.Second
+	// pullTimeout bounds one pull. If segments are lost, a new connection after
+	// 2 s succeeds earlier than the third SYN of the old one after 3 s. It is
+	// shorter than minPullInterval, since the next try is skipped while a pull
+	// is running.
+	pullTimeout = minPullInterval - 2*tickInterval
+	// maxPullTries is the number of pulls for one offer. Each answer to a report
+	// is a new offer.
+	maxPullTries = 3
 )
 
-// configNews is a version that an entry offered.
-type configNews struct {
-	version uint64
-	from    string // drpc address of the entry
-	tries   int
-	at      time.Time // of the last pull
+// configOffer is a configuration version that an entry offered.
+type configOffer struct {
+	version   uint64
+	rpcAddr   string // drpc address of the entry
+	triesLeft int
+	pulledAt  time.Time // time of the last pull
 }
 
-// offered notes what an entry offers. The last one to do so is asked: it was
-// heard just now.
-func (n *configNews) offered(version uint64, from string) {
+// update records an offer. Pulls go to the entry that sent the last offer, since
+// a message from it has just arrived.
+func (n *configOffer) update(version uint64, rpcAddr string) {
 	if version == 0 || version < n.version {
 		return
 	}
 	n.version = version
-	n.from = from
-	n.tries = pullTries
+	n.rpcAddr = rpcAddr
+	n.triesLeft = maxPullTries
 }
 
-// pullConfig pulls what was offered, again where a pull failed.
+// pullConfig requests a pull of the offered version and retries failed pulls.
 func (r *Reporter) pullConfig(now time.Time, out *Effects) {
-	n := &r.news
-	if n.version <= r.config || n.tries == 0 || now.Sub(n.at) < pullEvery {
+	n := &r.offer
+	if n.version <= r.config || n.triesLeft == 0 || now.Sub(n.pulledAt) < minPullInterval {
 		return
 	}
-	n.tries--
-	n.at = now
-	out.PullConfigFrom = n.from
+	n.triesLeft--
+	n.pulledAt = now
+	out.PullConfigFrom = n.rpcAddr
 	out.PullConfigVersion = n.version
 }
--- a/membership/observer.go
+++ b/membership/observer.go
@@ -17,48 +17,52 @@
 // Timing of an entry.
 const (
 	defaultDigestPeriod = time.Second
-	// suspectPeriods and deadPeriods are how many of its periods an agent may
-	// be silent.
+	// suspectPeriods and deadPeriods are the numbers of its report periods
+	// without a sample after which an agent is suspect or dead.
 	suspectPeriods = 3
 	deadPeriods    = 30
-	// judgeEvery is how often silence is judged: at 2,400 agents that is most
-	// of a tick, and a suspicion is a matter of seconds.
-	judgeEvery = 500 * time.Millisecond
-	// foreignForget is how long a server that only digests mentioned is kept.
-	foreignForget = 5 * time.Minute
-	// describeRate bounds the requests for descriptors, per second.
+	// silenceCheckInterval is the time between checks for silent agents and
+	// entries. With 2,400 agents the check takes most of the time of a tick, and
+	// suspicions need a resolution of seconds only.
+	silenceCheckInterval = 500 * time.Millisecond
+	// indirectServerTTL is the time after which a server that only digests
+	// contained is removed.
+	indirectServerTTL = 5 * time.Minute
+	// describeRate, per second, and describeBurst bound the requests for
+	// descriptors.
 	describeRate  = 2
 	describeBurst = 4
 )
 
-// The budget of control bytes.
+// The budget of control traffic.
 const (
-	// DefaultControlBudget is what an entry may spend on control, bytes a second, in
-	// and out together.
+	// DefaultControlBudget is the control traffic that an entry may cause, in
+	// bytes per second, in and out together.
 	DefaultControlBudget = 3000
-	// minReportShare is the least part of it for agents' reports and their
-	// answers; they get what digests leave, less spareShare for the rest.
+	// minReportShare is the least share of the budget for agents' reports and
+	// their answers. They get what the digests leave, less spareShare for other
+	// traffic.
 	minReportShare = 0.45
 	spareShare     = 0.15
-	// reportCost is a report with its share of an acknowledgement, in bytes.
-	// TestReportCost holds it against the encoded messages.
+	// reportCost is the cost of a report and its share of an acknowledgement, in
+	// bytes. TestReportCost checks it against the encoded messages.
 	reportCost = 110
 )
 
-// Table is what an Observer drives: an entry's table of backend servers.
+// Table is the table of backend servers of an entry, which an Observer updates.
 type Table interface {
-	// Observe takes a server's descriptor with a sample of its load.
+	// Observe records a server's descriptor and a sample of its load.
 	Observe(d backend.Descriptor, incarnation uint64, load backend.Load, now time.Time)
-	// ObserveLoad takes a sample that is age old. It returns false if the
+	// ObserveLoad records a sample that is age old. It returns false if the
 	// server or that incarnation of it is unknown. A sample that another entry
-	// passed on has sequence zero: its age alone orders it.
+	// relayed has sequence zero and is ordered by its age alone.
 	ObserveLoad(key, incarnation uint64, load backend.Load, age time.Duration, now time.Time) bool
-	// ObserveListed takes a server's descriptor and a sample that is age old,
-	// both passed on by another entry: this one isn't a home of the server.
+	// ObserveListed records a server's descriptor and a sample that is age old,
+	// both relayed by another entry. This entry isn't a home of the server.
 	ObserveListed(d backend.Descriptor, incarnation uint64, load backend.Load, age time.Duration, now time.Time)
-	// MarkSuspect, MarkLeaving and MarkDead change what is believed of a
-	// server until it is observed again. A leaving one stays leaving until it
-	// is observed with a greater incarnation.
+	// MarkSuspect, MarkLeaving and MarkDead set the state of a server until it
+	// is observed again. A leaving server stays leaving until it is observed
+	// with a greater incarnation.
 	MarkSuspect(key uint64)
 	MarkLeaving(key uint64)
 	MarkDead(key uint64)
@@ -66,64 +70,65 @@
 
 // ObserverConfig configures an Observer.
 type ObserverConfig struct {
-	Self  *wirepb.Peer // with its incarnation: the start, Unix milliseconds
+	Self  *wirepb.Peer // its incarnation is the start time in Unix milliseconds
 	Table Table
-	// DigestPeriod is the time between digests. Default 1 s.
+	// DigestPeriod is the time between digests. The default is 1 s.
 	DigestPeriod time.Duration
-	// ControlBudget is what may be spent on control, bytes a second in and out. It
-	// decides the report period that agents are asked for. Default 3000.
+	// ControlBudget is the control traffic that the entry may cause, in bytes
+	// per second, in and out. It determines the report period requested from
+	// agents. The default is 3000.
 	ControlBudget float64
 	Rand          *rand.Rand
-	Metrics       metrics.Registry // nil: a registry of its own
+	Metrics       metrics.Registry // nil: a new registry
 }
 
-// Observer is an entry's side of membership.
+// Observer is the membership state of an entry.
 type Observer struct {
-	cfg      ObserverConfig
-	self     *wirepb.Peer
-	key      uint64
-	config   configState
-	agents   map[uint64]*agent
-	direct   int // agents that report here
-	peers    peerSet
-	rumors   rumors
-	digests  digestState
-	describe *rate.Limiter
-	fill     fill
-
-	lastTick  time.Time
-	judgedAt  time.Time
-	lastHeard time.Time // anything from anyone
-	nextAt    time.Time // next digest
-
-	oldIncarnation, oldSequence, suspected, died, missed metrics.Counter
+	cfg             ObserverConfig
+	self            *wirepb.Peer
+	key             uint64
+	config          configState
+	agents          map[uint64]*agent
+	directAgents    int // agents that report here
+	peers           peerSet
+	evidence        evidenceSet
+	digests         digestState
+	describeLimiter *rate.Limiter
+	tableFill       tableFill
+
+	lastTick         time.Time
+	silenceCheckedAt time.Time
+	lastReceived     time.Time // last datagram from any agent or entry
+	nextDigestAt     time.Time
+
+	oldIncarnation, oldSequence, suspected, markedDead, selfMissed metrics.Counter
 }
 
-// agent is what an Observer knows of one backend server's agent.
+// agent is the state of one backend server's agent.
 type agent struct {
-	key         uint64
-	name        string
-	descriptor  *wirepb.Descriptor // of this incarnation
-	hash        uint32             // of the descriptor
-	askedAt     time.Time          // when a descriptor that changed was asked for
-	pool        string
-	addr        netip.AddrPort
-	incarnation uint64
-	sequence    uint64 // of the last sample taken
-	config      uint64 // revision that it said is in force there
-	load        backend.Load
-	sampledAt   time.Time
-	heardAt     time.Time
-	period      time.Duration
-	sinceAck    int
-	direct      bool // reports here, rather than mentioned in digests
-	suspect     bool
-	gone        bool      // dead, or unmentioned for long; only the descriptor counts
-	leaving     uint64    // incarnation that the VM list says is leaving; 0: none
-	drainedAt   time.Time // when the drain flag was first seen
+	key                   uint64
+	name                  string
+	descriptor            *wirepb.Descriptor // of this incarnation
+	hash                  uint32             // of the descriptor
+	descriptorRequestedAt time.Time          // when a changed descriptor was requested
+	pool                  string
+	addr                  netip.AddrPort
+	incarnation           uint64
+	sequence              uint64 // of the newest sample
+	config                uint64 // revision in force at the agent, as it reported
+	load                  backend.Load
+	sampledAt             time.Time
+	lastSeen              time.Time
+	period                time.Duration
+	reportsSinceAck       int
+	direct                bool // reports here, and isn't only contained in digests
+	suspect               bool
+	gone                  bool      // dead or not reported for long; only the descriptor is used
+	leavingIncarnation    uint64    // incarnation that the VM list marks as leaving; 0: none
+	drainSeenAt           time.Time // when the drain flag was first received
 }
 
-// NewObserver returns an observer that knows nobody but itself.
+// NewObserver returns an observer that has no agents and no other entries.
 func NewObserver(cfg ObserverConfig) *Observer {
 	if cfg.DigestPeriod == 0 {
 		cfg.DigestPeriod = defaultDigestPeriod
@@ -138,29 +143,29 @@
 		return metrics.GetOrRegisterCounter("membership."+name, cfg.Metrics)
 	}
 	return &Observer{
-		cfg:            cfg,
-		self:           proto.Clone(cfg.Self).(*wirepb.Peer),
-		key:            wire.Key(cfg.Self.GetName()),
-		agents:         map[uint64]*agent{},
-		peers:          newPeerSet(),
-		rumors:         newRumors(),
-		describe:       rate.NewLimiter(describeRate, describeBurst),
-		config:         newConfigState(cfg.ControlBudget),
-		oldIncarnation: counter("old_incarnation"),
-		oldSequence:    counter("old_sequence"),
-		suspected:      counter("agents_suspected"),
-		died:           counter("agents_dead"),
-		missed:         counter("self_missed"),
+		cfg:             cfg,
+		self:            proto.Clone(cfg.Self).(*wirepb.Peer),
+		key:             wire.Key(cfg.Self.GetName()),
+		agents:          map[uint64]*agent{},
+		peers:           newPeerSet(),
+		evidence:        newEvidenceSet(),
+		describeLimiter: rate.NewLimiter(describeRate, describeBurst),
+		config:          newConfigState(cfg.ControlBudget),
+		oldIncarnation:  counter("old_incarnation"),
+		oldSequence:     counter("old_sequence"),
+		suspected:       counter("agents_suspected"),
+		markedDead:      counter("agents_dead"),
+		selfMissed:      counter("self_missed"),
 	}
 }
 
-// Incarnation returns the entry's incarnation.
+// Incarnation returns the incarnation of the entry.
 func (o *Observer) Incarnation() uint64 { return o.self.GetIncarnation() }
 
 // ConfigVersions returns the configuration version in force at each agent that
-// reports here, by name.
+// reports here, by the agent's name.
 func (o *Observer) ConfigVersions() map[string]uint64 {
-	out := make(map[string]uint64, o.direct)
+	out := make(map[string]uint64, o.directAgents)
 	for _, a := range o.agents {
 		if a.direct {
 			out[a.name] = a.config
@@ -169,30 +174,31 @@
 	return out
 }
 
-// SetDraining tells agents and peers that this entry is leaving.
+// SetDraining marks this entry as draining in its messages to agents and peers.
 func (o *Observer) SetDraining() {
 	o.self.Draining = true
-	o.peers.changed()
+	o.peers.invalidate()
 }
 
-// ReportPeriod returns the period that this entry asks its agents for: what its
-// budget allows for as many as report to it.
+// ReportPeriod returns the report period that this entry requests from its
+// agents. It is the period at which the reports of all its agents fit the
+// budget.
 func (o *Observer) ReportPeriod() time.Duration {
-	const withDeltas = reportCost * (1 + 1.0/deltaEvery)
-	digests := 2 * float64(o.digests.bytes) / o.cfg.DigestPeriod.Seconds() // in and out
-	left := max(o.cfg.ControlBudget*(1-spareShare)-digests, o.cfg.ControlBudget*minReportShare)
-	seconds := float64(o.direct) * withDeltas / left
+	const reportBytes = reportCost * (1 + 1.0/unscheduledEvery)
+	digests := 2 * float64(o.digests.lastBytes) / o.cfg.DigestPeriod.Seconds() // in and out
+	available := max(o.cfg.ControlBudget*(1-spareShare)-digests, o.cfg.ControlBudget*minReportShare)
+	seconds := float64(o.directAgents) * reportBytes / available
 	period := time.Duration(seconds * float64(time.Second)).Round(time.Millisecond)
 	return min(max(period, defaultReportPeriod), maxReportPeriod)
 }
 
-// Handle takes one datagram.
+// Handle processes a datagram from an agent or entry.
 func (o *Observer) Handle(now time.Time, from netip.AddrPort, m *wirepb.Datagram) Effects {
 	var out Effects
-	if !o.lastHeard.IsZero() && now.Sub(o.lastHeard) > fillAfterPause {
-		o.refill()
+	if !o.lastReceived.IsZero() && now.Sub(o.lastReceived) > refillAfterPause {
+		o.resetTableFill()
 	}
-	o.lastHeard = now
+	o.lastReceived = now
 	switch body := m.GetBody().(type) {
 	case *wirepb.Datagram_Report:
 		o.handleReport(now, from, body.Report, &out)
@@ -201,20 +207,20 @@
 	case *wirepb.Datagram_Digest:
 		o.handleDigest(now, body.Digest, &out)
 	case *wirepb.Datagram_Evidence:
-		o.learnEvidence(now, body.Evidence.GetEvidence(), &out)
+		o.handleEvidence(now, body.Evidence.GetEvidence(), &out)
 	}
 	return out
 }
 
-// handleHello takes a descriptor: an agent's start, a change of it, or the
-// answer to a request for it.
+// handleHello processes a descriptor. An agent sends it at its start, after a
+// change and as the answer to a request.
 func (o *Observer) handleHello(now time.Time, from netip.AddrPort, h *wirepb.Hello, out *Effects) {
 	d := h.GetDescriptor_()
 	key := wire.Key(d.GetName())
 	a := o.agents[key]
 	if a != nil && d.GetIncarnation() < a.incarnation {
 		o.oldIncarnation.Inc(1)
-		o.ack(a, from, a.incarnation, out)
+		o.sendAck(a, from, a.incarnation, out)
 		return
 	}
 	load := wire.LoadOf(h.GetLoad())
@@ -226,35 +232,36 @@
 		a = &agent{key: key, name: d.GetName()}
 		o.agents[key] = a
 	}
-	a.describe(d)
+	a.setDescriptor(d)
 	a.config = h.GetConfigVersion()
-	// The agent's own word: a new entry would ask for a shorter period than the
-	// other homes, and suspect the agent before its first report.
-	a.period = max(periodOf(h.GetPeriodMs()), o.ReportPeriod())
+	// Use at least the period that the agent reports. A new entry would compute
+	// a shorter one than the other homes, and suspect the agent before its first
+	// report.
+	a.period = max(clampPeriod(h.GetPeriodMs()), o.ReportPeriod())
 	o.setDirect(a, o.isHome(a.name))
-	o.sample(now, a, load, 0)
+	o.recordSample(now, a, load, 0)
 	load.Incarnation = a.incarnation
 	o.cfg.Table.Observe(wire.DescriptorOf(d), a.incarnation, load, now)
-	o.remindLeaving(a)
-	o.ack(a, from, 0, out)
+	o.reapplyLeaving(a)
+	o.sendAck(a, from, 0, out)
 }
 
-// handleReport takes a periodic sample.
+// handleReport processes a periodic sample.
 func (o *Observer) handleReport(now time.Time, from netip.AddrPort, r *wirepb.Report, out *Effects) {
 	a := o.agents[r.GetKey()]
 	if a == nil {
-		o.ackUnknown(from, r, 0, out)
+		o.rejectReport(from, r, 0, out)
 		return
 	}
 	if r.GetIncarnation() < a.incarnation {
 		o.oldIncarnation.Inc(1)
-		o.ackUnknown(from, r, a.incarnation, out)
+		o.rejectReport(from, r, a.incarnation, out)
 		return
 	}
 	if r.GetIncarnation() > a.incarnation {
-		// A new life: its models, pool and addresses may differ, so the sample
-		// isn't taken before the descriptor is here.
-		o.ackUnknown(from, r, 0, out)
+		// Models, pool and addresses of a new incarnation may differ, so the
+		// sample isn't used before the descriptor has arrived.
+		o.rejectReport(from, r, 0, out)
 		return
 	}
 	load := wire.LoadOf(r.GetLoad())
@@ -264,34 +271,36 @@
 	}
 	load.Incarnation = a.incarnation
 	if !o.cfg.Table.ObserveLoad(a.key, a.incarnation, load, 0, now) {
-		o.ackUnknown(from, r, 0, out)
+		o.rejectReport(from, r, 0, out)
 		return
 	}
-	// An agent that was silent may hold this entry for silent in turn. It then
-	// sends only probes, and takes four of them for an answer without this.
+	// An agent that was silent may in turn suspect this entry. It then sends
+	// only probes, and would receive an answer only after four of them if this
+	// one weren't acknowledged.
 	returned := a.suspect || a.gone
-	a.period = max(periodOf(r.GetPeriodMs()), defaultReportPeriod)
+	a.period = max(clampPeriod(r.GetPeriodMs()), defaultReportPeriod)
 	o.setDirect(a, true)
-	o.sample(now, a, load, 0)
-	o.remindLeaving(a)
-	a.sinceAck++
+	o.recordSample(now, a, load, 0)
+	o.reapplyLeaving(a)
+	a.reportsSinceAck++
 	a.config = r.GetConfigVersion()
-	news := returned || o.config.of(a) > a.config || load.Draining || o.self.GetDraining()
-	if news || a.sinceAck >= ackEvery {
-		o.ack(a, from, 0, out)
+	needsAck := returned || o.config.versionFor(a) > a.config || load.Draining || o.self.GetDraining()
+	if needsAck || a.reportsSinceAck >= ackEvery {
+		o.sendAck(a, from, 0, out)
 	}
 }
 
-// periodOf bounds what an agent says of its period: a faulty one must not keep
-// itself from ever being suspect.
-func periodOf(millis uint32) time.Duration {
+// clampPeriod limits the period that an agent reports, so that a faulty agent
+// can't prevent itself from becoming suspect.
+func clampPeriod(millis uint32) time.Duration {
 	return min(time.Duration(millis)*time.Millisecond, maxReportPeriod)
 }
 
-// sample notes what an agent said, or was said to have said, age ago.
-func (o *Observer) sample(now time.Time, a *agent, load backend.Load, age time.Duration) {
+// recordSample stores a sample that is age old, from the agent itself or
+// relayed.
+func (o *Observer) recordSample(now time.Time, a *agent, load backend.Load, age time.Duration) {
 	if load.Draining && !a.load.Draining {
-		a.drainedAt = now
+		a.drainSeenAt = now
 	}
 	a.load = load
 	a.sequence = max(a.sequence, load.Sequence)
@@ -299,45 +308,46 @@
 		a.sequence = load.Sequence
 	}
 	a.sampledAt = now.Add(-age)
-	a.heardAt = a.sampledAt
+	a.lastSeen = a.sampledAt
 	a.suspect = false
 	a.gone = false
 }
 
-// setDirect notes whether an agent reports here.
+// setDirect sets whether an agent reports here.
 func (o *Observer) setDirect(a *agent, direct bool) {
 	if a.direct == direct {
 		return
 	}
 	a.direct = direct
 	if direct {
-		o.direct++
+		o.directAgents++
 	} else {
-		o.direct--
+		o.directAgents--
 	}
 }
 
-// ack acknowledges a report or hello and passes on what is new.
-func (o *Observer) ack(a *agent, to netip.AddrPort, known uint64, out *Effects) {
-	a.sinceAck = 0
-	m := o.ackFor(a.sequence)
-	if v := o.config.of(a); v > a.config {
+// sendAck acknowledges a report or hello and includes a newer configuration
+// version, if there is one.
+func (o *Observer) sendAck(a *agent, to netip.AddrPort, knownIncarnation uint64, out *Effects) {
+	a.reportsSinceAck = 0
+	m := o.newAck(a.sequence)
+	if v := o.config.versionFor(a); v > a.config {
 		m.ConfigVersion = v
 	}
-	m.KnownIncarnation = known
+	m.KnownIncarnation = knownIncarnation
 	out.send(to, ackMessage(m))
 }
 
-// ackUnknown asks for a descriptor, or tells an agent that a greater
+// rejectReport requests a descriptor, or reports to an agent that a greater
 // incarnation of it is known.
-func (o *Observer) ackUnknown(to netip.AddrPort, r *wirepb.Report, known uint64, out *Effects) {
-	m := o.ackFor(r.GetLoad().GetSequence())
-	m.WantHello = known == 0
-	m.KnownIncarnation = known
+func (o *Observer) rejectReport(to netip.AddrPort, r *wirepb.Report, knownIncarnation uint64, out *Effects) {
+	m := o.newAck(r.GetLoad().GetSequence())
+	m.WantHello = knownIncarnation == 0
+	m.KnownIncarnation = knownIncarnation
 	out.send(to, ackMessage(m))
 }
 
-func (o *Observer) ackFor(sequence uint64) *wirepb.ReportAck {
+func (o *Observer) newAck(sequence uint64) *wirepb.ReportAck {
 	return &wirepb.ReportAck{
 		Entry:            o.key,
 		EntryIncarnation: o.self.GetIncarnation(),
@@ -348,90 +358,91 @@
 	}
 }
 
-// MarkLeaving takes names from the platform's list of leaving VMs. The list lags: a
-// server that was replaced under the same name isn't leaving, so the hint holds
-// only for the incarnation known now.
+// MarkLeaving processes the names of the VMs that the platform lists as leaving.
+// The list lags: a server that was replaced under the same name isn't leaving.
+// So the mark applies only to the incarnation known at this time.
 func (o *Observer) MarkLeaving(names []string) {
 	for _, name := range names {
 		a := o.agents[wire.Key(name)]
-		if a == nil || a.leaving == a.incarnation {
+		if a == nil || a.leavingIncarnation == a.incarnation {
 			continue
 		}
-		a.leaving = a.incarnation
+		a.leavingIncarnation = a.incarnation
 		o.cfg.Table.MarkLeaving(a.key)
 	}
 }
 
-// remindLeaving repeats the hint, since a sample makes a row live again.
-func (o *Observer) remindLeaving(a *agent) {
-	if a.leaving != 0 && a.leaving == a.incarnation {
+// reapplyLeaving repeats the mark, since a sample sets the row to live again.
+func (o *Observer) reapplyLeaving(a *agent) {
+	if a.leavingIncarnation != 0 && a.leavingIncarnation == a.incarnation {
 		o.cfg.Table.MarkLeaving(a.key)
 	}
 }
 
-// Tick judges silence and sends the digest when it is due. Call it at least
-// once a period.
+// Tick checks for silent agents and entries and sends a digest when it is due.
+// Call it at least once per digest period.
 func (o *Observer) Tick(now time.Time) Effects {
 	var out Effects
-	o.forgivePause(now)
-	if now.Sub(o.judgedAt) >= judgeEvery {
-		o.judgedAt = now
-		o.judgeAgents(now)
-		o.judgePeers(now)
+	o.compensatePause(now)
+	if now.Sub(o.silenceCheckedAt) >= silenceCheckInterval {
+		o.silenceCheckedAt = now
+		o.checkAgents(now)
+		o.checkPeers(now)
 	}
-	o.announceConfig(now, &out)
+	o.sendAnnouncements(now, &out)
 	o.fillTable(now, &out)
 	o.sendDigest(now, &out)
 	return out
 }
 
-// forgivePause adds a gap between ticks to all signs of life. A process that
-// was paused heard nobody; without this it wakes and takes everyone for dead,
-// which one would notice as a moment without any server to choose.
-func (o *Observer) forgivePause(now time.Time) {
+// compensatePause adds a gap between ticks to all times of the last sign of
+// life. A paused process received nothing. Without the correction it would mark
+// all others dead when it resumes, and have no server to choose for a moment.
+func (o *Observer) compensatePause(now time.Time) {
 	last := o.lastTick
 	o.lastTick = now
 	gap := now.Sub(last)
 	if last.IsZero() || gap <= 2*o.cfg.DigestPeriod {
 		return
 	}
-	if gap > fillAfterPause {
-		o.refill()
+	if gap > refillAfterPause {
+		o.resetTableFill()
 	}
 	for _, a := range o.agents {
-		a.heardAt = shifted(a.heardAt, gap, now)
+		a.lastSeen = shiftTime(a.lastSeen, gap, now)
 	}
 	for _, p := range o.peers.all {
-		p.heardAt = shifted(p.heardAt, gap, now)
+		p.lastSeen = shiftTime(p.lastSeen, gap, now)
 	}
-	o.lastHeard = shifted(o.lastHeard, gap, now)
+	o.lastReceived = shiftTime(o.lastReceived, gap, now)
 }
 
-// shifted moves a time on by gap, but not into the future: what was handled
-// after the pause already counts as heard now.
-func shifted(t time.Time, gap time.Duration, now time.Time) time.Time {
+// shiftTime adds gap to t, but returns at most now: what was handled after the
+// pause already has the present time.
+func shiftTime(t time.Time, gap time.Duration, now time.Time) time.Time {
 	if t = t.Add(gap); t.After(now) {
 		return now
 	}
 	return t
 }
 
-// judgeAgents marks silent agents.
-func (o *Observer) judgeAgents(now time.Time) {
+// checkAgents marks silent agents as suspect or dead and removes agents after
+// descriptorTTL.
+func (o *Observer) checkAgents(now time.Time) {
 	isolated := o.isolated(now)
 	for _, a := range o.agents {
-		silent := now.Sub(a.heardAt)
+		silent := now.Sub(a.lastSeen)
 		if a.direct && silent > suspectPeriods*a.period && !o.isHome(a.name) {
 			o.setDirect(a, false) // it moved to other homes and isn't silent
 		}
 		switch {
-		case a.gone && silent > descriptorKeep && !isolated:
+		case a.gone && silent > descriptorTTL && !isolated:
 			delete(o.agents, a.key)
 		case a.gone:
-		case !a.direct && silent > foreignForget && !isolated:
-			o.forget(a)
+		case !a.direct && silent > indirectServerTTL && !isolated:
+			o.markDead(a)
 		case a.direct && silent > deadPeriods*a.period && !isolated:
-			o.forget(a)
+			o.markDead(a)
 		case a.direct && silent > suspectPeriods*a.period && !a.suspect:
 			a.suspect = true
 			o.suspected.Inc(1)
@@ -440,22 +451,22 @@
 	}
 }
 
-// isolated tells that this entry hears nobody at all. It then knows nothing of
-// the others, and takes none for dead.
+// isolated reports whether this entry receives nothing at all. It then has no
+// information about the others and marks none of them dead.
 func (o *Observer) isolated(now time.Time) bool {
-	return now.Sub(o.lastHeard) > suspectPeriods*o.ReportPeriod()
+	return now.Sub(o.lastReceived) > suspectPeriods*o.ReportPeriod()
 }
 
-// forget takes a server for dead. Its descriptor is kept for a while.
-func (o *Observer) forget(a *agent) {
+// markDead marks a server as dead. Its descriptor is kept for descriptorTTL.
+func (o *Observer) markDead(a *agent) {
 	o.setDirect(a, false)
 	a.gone = true
-	o.died.Inc(1)
+	o.markedDead.Inc(1)
 	o.cfg.Table.MarkDead(a.key)
 }
 
-// isHome tells whether this entry is a home of an agent, as far as it knows the
-// entries.
+// isHome reports whether this entry is a home of an agent, according to its list
+// of entries.
 func (o *Observer) isHome(name string) bool {
 	return o.peers.isHome(name, o.self)
 }
--- a/membership/peers.go
+++ b/membership/peers.go
@@ -13,58 +13,61 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// Judging entries. Signs of life spread by digests, so silence is counted in
-// digest periods and must outlast the slowest spread in a large region; see
-// BenchmarkControlBytes.
+// Timing of the failure detection of entries. Signs of life spread by digests.
+// So timeouts are counted in digest periods and must exceed the slowest spread
+// in a large region; see BenchmarkControlBytes.
 const (
+	// peerSuspectPeriods is the number of digest periods without a sign of life
+	// after which an entry is suspect.
 	peerSuspectPeriods = 25
-	// claimPeriods is how long another entry's suspicion counts.
-	claimPeriods = 30
-	// deadTry is one in how many digests goes to an entry that is held for
-	// dead. Without it the halves of a region that was cut in two would hold
-	// each other for dead for ever.
-	deadTry = 8
+	// suspicionPeriods is the number of digest periods for which another entry's
+	// suspicion counts.
+	suspicionPeriods = 30
+	// deadPeerProbeOneIn is n in "one of n digests goes to a dead entry".
+	// Without these digests the halves of a partitioned region would treat each
+	// other as dead forever.
+	deadPeerProbeOneIn = 8
 )
 
-// peer is what an entry knows of another entry.
+// peer is the state of another entry.
 type peer struct {
 	info        *wirepb.Peer
 	key         uint64
 	addr        netip.AddrPort
 	incarnation uint64
-	heardAt     time.Time // by anyone, as far as digests tell
+	lastSeen    time.Time // by any entry, according to digests
 	suspect     bool
 	dead        bool
-	claims      map[uint64]time.Time // who else misses it, since when known here
+	suspectedBy map[uint64]time.Time // entries that suspect it, and when the last such digest arrived
 }
 
-// peerSet is the entries of the region but this one.
+// peerSet is the set of the region's other entries.
 type peerSet struct {
 	all  map[uint64]*peer
-	keys []uint64 // of all, sorted, so that random choices repeat with a seed
-	// homes caches isHome; it is emptied when the entries change.
+	keys []uint64 // keys of all, sorted, so that random choices are reproducible with a seed
+	// homes caches the results of isHome. It is cleared when the entries change.
 	homes   map[string]bool
 	version uint64
-	// names orders the region's entries, this one included; it and its hash
-	// are what the ages of a digest refer to.
-	names     []uint64
-	namesHash uint64
+	// memberKeys are the sorted keys of the region's entries, this one included.
+	// The ages of a digest refer to them and to their hash.
+	memberKeys     []uint64
+	memberKeysHash uint64
 }
 
 func newPeerSet() peerSet { return peerSet{all: map[uint64]*peer{}} }
 
-// changed drops what was worked out from the set.
-func (s *peerSet) changed() {
+// invalidate clears what is derived from the set.
+func (s *peerSet) invalidate() {
 	s.homes = map[string]bool{}
 	s.version = 0
-	s.names = nil
+	s.memberKeys = nil
 	s.keys = slices.Sorted(maps.Keys(s.all))
 }
 
-// isHome tells whether self is among an agent's homes.
+// isHome reports whether self is a home of an agent.
 func (s *peerSet) isHome(agent string, self *wirepb.Peer) bool {
-	if is, ok := s.homes[agent]; ok {
-		return is
+	if cached, ok := s.homes[agent]; ok {
+		return cached
 	}
 	names := []string{self.GetName()}
 	for _, p := range s.all {
@@ -76,13 +79,13 @@
 	if s.homes == nil {
 		s.homes = map[string]bool{}
 	}
-	is := slices.Contains(homes, self.GetName())
-	s.homes[agent] = is
-	return is
+	result := slices.Contains(homes, self.GetName())
+	s.homes[agent] = result
+	return result
 }
 
-// pick returns up to n different random peers that are not dead.
-func (s *peerSet) pick(rnd *rand.Rand, n int) []*peer {
+// pickLive returns up to n different random peers that aren't dead.
+func (s *peerSet) pickLive(rnd *rand.Rand, n int) []*peer {
 	var live []*peer
 	for _, key := range s.keys {
 		if p := s.all[key]; !p.dead {
@@ -93,25 +96,25 @@
 	return live[:min(n, len(live))]
 }
 
-// target returns the peer of the next digest, or nil.
-func (s *peerSet) target(rnd *rand.Rand) *peer {
+// digestTarget returns the peer for the next digest, or nil.
+func (s *peerSet) digestTarget(rnd *rand.Rand) *peer {
 	var dead []*peer
 	for _, key := range s.keys {
 		if p := s.all[key]; p.dead {
 			dead = append(dead, p)
 		}
 	}
-	if len(dead) > 0 && rnd.IntN(deadTry) == 0 {
+	if len(dead) > 0 && rnd.IntN(deadPeerProbeOneIn) == 0 {
 		return dead[rnd.IntN(len(dead))]
 	}
-	if picked := s.pick(rnd, 1); len(picked) > 0 {
+	if picked := s.pickLive(rnd, 1); len(picked) > 0 {
 		return picked[0]
 	}
 	return nil
 }
 
-// SetPeers takes the list of the region's entries from the platform's service.
-// Entries that aren't in it are dropped.
+// SetPeers replaces the list of the region's entries by one from the platform's
+// service. Entries that aren't in it are dropped.
 func (o *Observer) SetPeers(now time.Time, list []*wirepb.Peer) {
 	keep := map[uint64]bool{}
 	for _, p := range list {
@@ -125,7 +128,7 @@
 	o.MergePeers(now, list)
 }
 
-// MergePeers takes a list of entries from one of them. It drops none.
+// MergePeers merges a list of entries from another entry. It drops none.
 func (o *Observer) MergePeers(now time.Time, list []*wirepb.Peer) {
 	for _, info := range list {
 		key := wire.Key(info.GetName())
@@ -134,23 +137,23 @@
 		}
 		p := o.peers.all[key]
 		if p == nil {
-			p = &peer{key: key, heardAt: now, claims: map[uint64]time.Time{}}
+			p = &peer{key: key, lastSeen: now, suspectedBy: map[uint64]time.Time{}}
 			o.peers.all[key] = p
 		}
 		if info.GetIncarnation() < p.incarnation {
 			continue
 		}
 		if info.GetIncarnation() > p.incarnation {
-			p.revive(info.GetIncarnation(), now)
+			p.markAlive(info.GetIncarnation(), now)
 		}
 		p.info = proto.Clone(info).(*wirepb.Peer)
-		p.addr = address(info.GetDatagramAddress())
+		p.addr = parseAddrPort(info.GetDatagramAddress())
 	}
-	o.peers.changed()
+	o.peers.invalidate()
 }
 
-// Peers returns the entries that aren't held for dead, this one included, as
-// agents and other entries are told.
+// Peers returns the entries that aren't dead, this one included, as they are
+// sent to agents and other entries.
 func (o *Observer) Peers() []*wirepb.Peer {
 	list := []*wirepb.Peer{proto.Clone(o.self).(*wirepb.Peer)}
 	for _, key := range o.peers.keys {
@@ -161,7 +164,7 @@
 	return list
 }
 
-// PeersVersion identifies what Peers returns.
+// PeersVersion returns the version of the list that Peers returns.
 func (o *Observer) PeersVersion() uint64 {
 	if o.peers.version == 0 {
 		o.peers.version = PeersVersion(o.Peers())
@@ -169,9 +172,9 @@
 	return o.peers.version
 }
 
-// heard notes a sign of life of an entry. It returns false for an incarnation
-// that is over.
-func (o *Observer) heard(now time.Time, key, incarnation uint64, age time.Duration) bool {
+// recordPeerAlive records a sign of life of an entry, received age ago. It
+// returns false if the incarnation is outdated.
+func (o *Observer) recordPeerAlive(now time.Time, key, incarnation uint64, age time.Duration) bool {
 	p := o.peers.all[key]
 	if p == nil {
 		return true
@@ -180,68 +183,69 @@
 		return false
 	}
 	at := now.Add(-age)
-	if incarnation == p.incarnation && !at.After(p.heardAt) {
+	if incarnation == p.incarnation && !at.After(p.lastSeen) {
 		return true
 	}
 	wasDead := p.dead
-	p.revive(incarnation, at)
-	if p.suspect = now.Sub(at) > o.peerSuspectAfter(); p.suspect {
+	p.markAlive(incarnation, at)
+	if p.suspect = now.Sub(at) > o.peerSuspectTimeout(); p.suspect {
 		p.dead = wasDead
 	}
 	if wasDead != p.dead {
-		o.peers.changed()
+		o.peers.invalidate()
 	}
 	return true
 }
 
-// revive begins a new count of silence.
-func (p *peer) revive(incarnation uint64, at time.Time) {
+// markAlive sets the time of the last sign of life and clears suspicions.
+func (p *peer) markAlive(incarnation uint64, at time.Time) {
 	p.incarnation = incarnation
-	p.heardAt = at
+	p.lastSeen = at
 	p.suspect = false
 	p.dead = false
-	clear(p.claims)
+	clear(p.suspectedBy)
 }
 
-func (o *Observer) peerSuspectAfter() time.Duration {
+func (o *Observer) peerSuspectTimeout() time.Duration {
 	return peerSuspectPeriods * o.cfg.DigestPeriod
 }
 
-// judgePeers marks entries that are missed. An entry is dead only if another
-// one misses it too: a link that is cut in one direction makes just one of them
-// miss it.
-func (o *Observer) judgePeers(now time.Time) {
+// checkPeers marks silent entries. An entry is dead only if another one suspects
+// it too: if a link fails in one direction, only one of its two ends misses the
+// other.
+func (o *Observer) checkPeers(now time.Time) {
 	for _, key := range o.peers.keys {
 		p := o.peers.all[key]
-		p.suspect = now.Sub(p.heardAt) > o.peerSuspectAfter()
-		dead := p.suspect && p.claimed(now, claimPeriods*o.cfg.DigestPeriod)
+		p.suspect = now.Sub(p.lastSeen) > o.peerSuspectTimeout()
+		dead := p.suspect && p.hasSuspicion(now, suspicionPeriods*o.cfg.DigestPeriod)
 		if dead && !p.dead {
 			p.dead = true
-			o.peers.changed()
+			o.peers.invalidate()
 		}
 	}
 }
 
-// claimed tells whether another entry misses this one, and forgets old claims.
-func (p *peer) claimed(now time.Time, ttl time.Duration) bool {
-	for by, at := range p.claims {
+// hasSuspicion reports whether another entry suspects this one. It removes
+// expired suspicions.
+func (p *peer) hasSuspicion(now time.Time, ttl time.Duration) bool {
+	for sender, at := range p.suspectedBy {
 		if now.Sub(at) > ttl {
-			delete(p.claims, by)
+			delete(p.suspectedBy, sender)
 		}
 	}
-	return len(p.claims) > 0
+	return len(p.suspectedBy) > 0
 }
 
-// SilentPeers returns the entries of the region that nobody has heard of for so long.
-// While this entry hears nobody at all it returns none: then it is itself that is
-// cut off.
+// SilentPeers returns the entries of the region from which no sign of life has
+// arrived for the given time, directly or by digests. It returns none while this
+// entry is itself isolated.
 func (o *Observer) SilentPeers(now time.Time, silence time.Duration) []*wirepb.Peer {
 	if o.isolated(now) {
 		return nil
 	}
 	var lost []*wirepb.Peer
 	for _, key := range o.peers.keys {
-		if p := o.peers.all[key]; now.Sub(p.heardAt) >= silence {
+		if p := o.peers.all[key]; now.Sub(p.lastSeen) >= silence {
 			lost = append(lost, proto.Clone(p.info).(*wirepb.Peer))
 		}
 	}
--- a/membership/property_test.go
+++ b/membership/property_test.go
@@ -12,8 +12,8 @@
 	"github.com/briarturn/briarturn/wire"
 )
 
-// orderedTable fails when what it is told goes back to an earlier incarnation,
-// or within one to an earlier sample.
+// orderedTable fails if a call goes back to an earlier incarnation, or to an
+// earlier sample of the same incarnation.
 type orderedTable struct {
 	*fakeTable
 	t *rapid.T
@@ -38,17 +38,16 @@
 		o.t.Fatalf("sequence %d after %d", load.Sequence, row.load.Sequence)
 	}
 	if row.load.Draining && !load.Draining && load.Sequence == 0 {
-		o.t.Fatal("a passed-on sample took a drain back")
+		o.t.Fatal("a relayed sample undid a drain")
 	}
 	return o.fakeTable.ObserveLoad(key, inc, load, age, now)
 }
 
-// Symptom: an entry believes a former life of a server, or an older sample of
-// it, over a later one.
-// Sequence: agents restart, with their clocks ahead and behind, start to drain
-// and pause, while datagrams are lost, doubled, late and overtake each other.
-// Cause: what arrives last is taken for what was said last.
-func TestIncarnationsNeverGoBack(t *testing.T) {
+// An entry must never replace an incarnation or sample of a server by an older
+// one. Agents restart with their clocks ahead or behind, start to drain and
+// pause, while datagrams are lost, duplicated, delayed and reordered. The order
+// of arrival isn't the order of sending.
+func TestIncarnationsNeverRegress(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(rt *rapid.T) {
 		const entries, agents = 4, 3
@@ -56,12 +55,12 @@
 		for _, e := range c.entries {
 			e.cfg.Table = &orderedTable{fakeTable: e.table, t: rt}
 		}
-		c.deliver = badNetwork(c.rnd, rapid.IntRange(0, 40).Draw(rt, "lost"), rapid.IntRange(0, 40).Draw(rt, "late"))
+		c.deliver = unreliableNetwork(c.rnd, rapid.IntRange(0, 40).Draw(rt, "lost"), rapid.IntRange(0, 40).Draw(rt, "late"))
 		for range rapid.IntRange(3, 12).Draw(rt, "steps") {
-			disturb(rt, c, agents)
+			disturbAgent(rt, c, agents)
 			c.run(time.Duration(rapid.IntRange(1, 50).Draw(rt, "tenths")) * clusterStep)
 		}
-		c.heal()
+		c.dropNothing()
 		for _, a := range c.agents {
 			a.paused = false
 		}
@@ -70,15 +69,15 @@
 			for _, e := range c.homesOf(a) {
 				row := e.table.rows[wire.Key(a.name())]
 				if row == nil || row.incarnation != a.Incarnation() || row.state != backend.StateLive {
-					rt.Fatalf("%s has %+v of %s, incarnation %d", e.self.GetName(), row, a.name(), a.Incarnation())
+					rt.Fatalf("%s has row %+v of %s, want incarnation %d", e.self.GetName(), row, a.name(), a.Incarnation())
 				}
 			}
 		}
 	})
 }
 
-// disturb does one thing to one agent.
-func disturb(rt *rapid.T, c *cluster, agents int) {
+// disturbAgent restarts, drains or pauses an agent, or changes its load.
+func disturbAgent(rt *rapid.T, c *cluster, agents int) {
 	i := rapid.IntRange(0, agents-1).Draw(rt, "agent")
 	a := c.agents[i]
 	switch rapid.IntRange(0, 3).Draw(rt, "what") {
@@ -98,8 +97,9 @@
 	}
 }
 
-// badNetwork loses, doubles and delays, in percent.
-func badNetwork(rnd *rand.Rand, lost, late int) func(from, to netip.AddrPort) []time.Duration {
+// unreliableNetwork loses, duplicates and delays datagrams, with probabilities
+// in percent.
+func unreliableNetwork(rnd *rand.Rand, lost, late int) func(from, to netip.AddrPort) []time.Duration {
 	arrival := func() time.Duration {
 		if rnd.IntN(100) < late {
 			return time.Duration(rnd.Int64N(int64(5 * time.Second)))
@@ -117,9 +117,10 @@
 	}
 }
 
-// TestHomesMoveLittle: an entry that goes moves only its own agents, and the
-// agents are spread over the entries without one having twice its share.
-func TestHomesMoveLittle(t *testing.T) {
+// The removal of an entry must move only the agents that report to it. The
+// agents must be spread over the entries so that no entry has more than twice
+// its share.
+func TestRemovedEntryMovesOnlyItsAgents(t *testing.T) {
 	const entries, agents = 86, 2400
 	var names []string
 	for i := range entries {
@@ -128,35 +129,35 @@
 	load := map[string]int{}
 	for i := range agents {
 		agent := agentAddr(i).String()
-		before := Rank(agent, names, fewHomes)
-		after := Rank(agent, names[1:], fewHomes)
+		before := Rank(agent, names, homesPerAgent)
+		after := Rank(agent, names[1:], homesPerAgent)
 		for _, h := range before {
 			load[h]++
 			if h == names[0] {
 				continue
 			}
 			if after[0] != h && after[1] != h {
-				t.Fatalf("%s lost home %s though it stayed", agent, h)
+				t.Fatalf("%s lost home %s, which wasn't removed", agent, h)
 			}
 		}
 	}
 	for name, n := range load {
-		if n > 2*agents*fewHomes/entries {
-			t.Errorf("%s is home of %d agents, the mean is %d", name, n, agents*fewHomes/entries)
+		if n > 2*agents*homesPerAgent/entries {
+			t.Errorf("%s is home of %d agents, the mean is %d", name, n, agents*homesPerAgent/entries)
 		}
 	}
 }
 
-// BenchmarkEvidenceSpread prints how many digest periods evidence takes to
-// reach 86 entries, with and without loss, over 50 seeds.
+// BenchmarkEvidenceSpread prints how long evidence takes to reach 86 entries,
+// with and without loss, over 50 seeds.
 func BenchmarkEvidenceSpread(b *testing.B) {
 	for _, lost := range []int{0, 20} {
-		b.Run(netName(lost), func(b *testing.B) {
+		b.Run(lossName(lost), func(b *testing.B) {
 			for range b.N {
 				worst, sum, bytes := time.Duration(0), time.Duration(0), 0
 				const seeds = 50
 				for seed := range uint64(seeds) {
-					took, cost := spreadOnce(b, seed, lost)
+					took, cost := measureEvidenceSpread(b, seed, lost)
 					worst, sum = max(worst, took), sum+took
 					bytes += cost
 				}
@@ -168,40 +169,40 @@
 	}
 }
 
-func netName(lost int) string {
+func lossName(lost int) string {
 	if lost == 0 {
 		return "lossless"
 	}
 	return "lost=20%"
 }
 
-// spreadOnce returns how long evidence took to be known everywhere, and the
-// bytes beyond those of the same time before it.
-func spreadOnce(b *testing.B, seed uint64, lost int) (time.Duration, int) {
+// measureEvidenceSpread returns the time until all entries have the evidence,
+// and the additional bytes compared with the same time before it.
+func measureEvidenceSpread(b *testing.B, seed uint64, lost int) (time.Duration, int) {
 	c := newCluster(b, 86, 0, 1, seed)
-	c.run(settled)
-	c.deliver = badNetwork(c.rnd, lost, 0)
-	base := c.total()
-	c.run(settled)
-	quiet := c.total() - base
+	c.run(settleTime)
+	c.deliver = unreliableNetwork(c.rnd, lost, 0)
+	base := c.totalBytes()
+	c.run(settleTime)
+	quiet := c.totalBytes() - base
 	e := c.entries[0]
-	list := samplesOfEvidence()
+	list := sampleEvidence()
 	start := c.now
-	c.entryEffects(e, e.AddEvidence(c.now, list))
+	c.applyEntry(e, e.AddEvidence(c.now, list))
 	took := time.Duration(0)
-	for c.now.Sub(start) < settled {
+	for c.now.Sub(start) < settleTime {
 		c.run(clusterStep)
-		if took == 0 && c.informed() == 85 {
+		if took == 0 && c.entriesWithEvidence() == 85 {
 			took = c.now.Sub(start)
 		}
 	}
 	if took == 0 {
-		b.Fatalf("seed %d: not everywhere after %s", seed, settled)
+		b.Fatalf("seed %d: not all entries have the evidence after %s", seed, settleTime)
 	}
-	return took, c.total() - base - 2*quiet
+	return took, c.totalBytes() - base - 2*quiet
 }
 
-func (c *cluster) total() int {
+func (c *cluster) totalBytes() int {
 	sum := 0
 	for _, n := range c.bytes {
 		sum += n
@@ -209,10 +210,10 @@
 	return sum
 }
 
-func (c *cluster) informed() int {
+func (c *cluster) entriesWithEvidence() int {
 	n := 0
 	for _, e := range c.entries[1:] {
-		if e.evidence > 0 {
+		if e.evidenceReceived > 0 {
 			n++
 		}
 	}
--- a/membership/reporter.go
+++ b/membership/reporter.go
@@ -17,68 +17,74 @@
 	defaultReportPeriod = time.Second
 	maxReportPeriod     = 30 * time.Second
 	defaultMinInterval  = 250 * time.Millisecond
-	// ackEvery is how many reports an entry takes before it acknowledges one.
+	// ackEvery is the number of reports after which an entry acknowledges one.
 	ackEvery = 4
-	// suspectUnacked is the number of reports without an acknowledgement after
-	// which a home is suspect: two lost acknowledgements and one more report.
-	suspectUnacked = 2*ackEvery + 1
-	// probeEvery is how many rounds a suspect home is left out between probes.
-	probeEvery = 4
-	// drainRepeats is how often the drain flag is sent at the least interval
-	// until every home acknowledged it, so that a lost datagram doesn't cost a
-	// period of new work.
-	drainRepeats = 10
-	// deltaEvery is how many periods earn one report out of turn.
-	deltaEvery = 4
-	deltaBurst = 2
+	// suspectAfterUnacked is the number of reports without an acknowledgement
+	// after which a home is suspect: two lost acknowledgements and one more
+	// report.
+	suspectAfterUnacked = 2*ackEvery + 1
+	// probeEveryRounds is the interval, in rounds of reports, at which a suspect
+	// home is probed.
+	probeEveryRounds = 4
+	// maxDrainRepeats is the number of reports with the drain flag that are sent
+	// at the least interval until every home has acknowledged it. Without them a
+	// lost datagram would cost a period of new work.
+	maxDrainRepeats = 10
+	// unscheduledEvery is the number of periods per unscheduled report.
+	unscheduledEvery = 4
+	// unscheduledBurst is the number of unscheduled reports that may follow one
+	// another at the least interval.
+	unscheduledBurst = 2
 )
 
 // ReporterConfig configures a Reporter.
 type ReporterConfig struct {
 	Descriptor  backend.Descriptor
-	Incarnation uint64 // the process's start, Unix milliseconds
-	// Seeds are drpc addresses of entries to ask for the list of entries.
+	Incarnation uint64 // start time of the process in Unix milliseconds
+	// Seeds are the drpc addresses of entries to pull the first list of entries
+	// from.
 	Seeds []string
-	// Homes is the number of homes; zero takes HomeCount of the region.
+	// Homes is the number of homes. If it is zero, HomeCount of the region's
+	// entries is used.
 	Homes int
-	// Period is the shortest time between periodic reports; entries may ask
-	// for a longer one. Default 1 s.
+	// Period is the shortest time between periodic reports. Entries may request
+	// a longer one. The default is 1 s.
 	Period time.Duration
-	// MinInterval is the least time between two reports. Default 250 ms.
+	// MinInterval is the least time between two reports. The default is 250 ms.
 	MinInterval time.Duration
 	Rand        *rand.Rand
-	Metrics     metrics.Registry // nil: a registry of its own
+	Metrics     metrics.Registry // nil: a new registry
 }
 
-// Reporter is an agent's side of membership.
+// Reporter is the membership state of an agent.
 type Reporter struct {
 	cfg         ReporterConfig
 	incarnation uint64
 	sequence    uint64
 	config      uint64 // newest configuration version in force here
 
-	sources map[string][]*wirepb.Peer // lists of entries by who gave them
-	listAt  time.Time                 // when a changed list is due to be pulled
-	entries map[uint64]*home
-	ranked  []*home // all entries, best first
-	active  []*home // those that are reported to
+	peerLists   map[string][]*wirepb.Peer // lists of entries by the name of the sender
+	peersPullAt time.Time                 // when the pull of a changed list is due
+	entries     map[uint64]*entryState
+	ranked      []*entryState // all entries, best first
+	active      []*entryState // entries that receive reports
 
-	nextAt   time.Time
-	sentAt   time.Time
-	sent     backend.Load // what the last report said
-	round    int
-	urgent   int    // drain reports still to repeat
-	drainSeq uint64 // the first report with the drain flag
-	deltas   *rate.Limiter
-	askedAt  time.Time // seeds
-	nextSeed int
-	news     configNews
-	confirm  bool // a new configuration version is to be reported
+	nextReportAt       time.Time
+	lastSentAt         time.Time
+	lastSent           backend.Load // load of the last report
+	round              int
+	drainRepeatsLeft   int    // reports with the drain flag left to send at the least interval
+	drainSequence      uint64 // sequence of the first report with the drain flag
+	unscheduledLimiter *rate.Limiter
+	seedAskedAt        time.Time // time of the last pull from a seed
+	nextSeed           int
+	offer              configOffer
+	confirmConfig      bool // a new configuration version is to be reported
 
-	suspected, oldEntry, raised metrics.Counter
+	homesSuspected, oldIncarnation, incarnationRaised metrics.Counter
 }
 
-// NewReporter returns a reporter that knows no entry yet.
+// NewReporter returns a reporter that has no list of entries yet.
 func NewReporter(cfg ReporterConfig) *Reporter {
 	if cfg.Period == 0 {
 		cfg.Period = defaultReportPeriod
@@ -90,14 +96,14 @@
 		cfg.Metrics = metrics.NewRegistry()
 	}
 	r := &Reporter{
-		cfg:         cfg,
-		incarnation: cfg.Incarnation,
-		sources:     map[string][]*wirepb.Peer{},
-		entries:     map[uint64]*home{},
-		deltas:      rate.NewLimiter(rate.Every(deltaEvery*cfg.Period), deltaBurst),
-		suspected:   metrics.GetOrRegisterCounter("membership.homes_suspected", cfg.Metrics),
-		oldEntry:    metrics.GetOrRegisterCounter("membership.old_incarnation", cfg.Metrics),
-		raised:      metrics.GetOrRegisterCounter("membership.incarnation_raised", cfg.Metrics),
+		cfg:                cfg,
+		incarnation:        cfg.Incarnation,
+		peerLists:          map[string][]*wirepb.Peer{},
+		entries:            map[uint64]*entryState{},
+		unscheduledLimiter: rate.NewLimiter(rate.Every(unscheduledEvery*cfg.Period), unscheduledBurst),
+		homesSuspected:     metrics.GetOrRegisterCounter("membership.homes_suspected", cfg.Metrics),
+		oldIncarnation:     metrics.GetOrRegisterCounter("membership.old_incarnation", cfg.Metrics),
+		incarnationRaised:  metrics.GetOrRegisterCounter("membership.incarnation_raised", cfg.Metrics),
 	}
 	if len(cfg.Seeds) > 0 {
 		r.nextSeed = cfg.Rand.IntN(len(cfg.Seeds))
@@ -105,11 +111,11 @@
 	return r
 }
 
-// Incarnation returns the agent's incarnation.
+// Incarnation returns the incarnation of the agent.
 func (r *Reporter) Incarnation() uint64 { return r.incarnation }
 
 // Period returns the time between periodic reports: the longest that a home
-// asks for, but not under the configured one.
+// requests, and at least the configured one.
 func (r *Reporter) Period() time.Duration {
 	period := r.cfg.Period
 	for _, h := range r.active {
@@ -118,121 +124,125 @@
 	return period
 }
 
-// SetConfigVersion tells the revision of the declared state in force here. A
+// SetConfigVersion sets the revision of the declared state in force here. A
 // greater one is reported at once, so that homes stop announcing it.
 func (r *Reporter) SetConfigVersion(v uint64) {
 	if v <= r.config {
 		return
 	}
 	r.config = v
-	r.confirm = true
+	r.confirmConfig = true
 }
 
-// SetDescriptor replaces the descriptor. Homes are told of it with the next
-// report.
+// SetDescriptor replaces the descriptor. The next report to each home carries
+// it.
 func (r *Reporter) SetDescriptor(d backend.Descriptor) {
 	r.cfg.Descriptor = d
 	for _, h := range r.entries {
-		h.greeted = false
+		h.hasDescriptor = false
 	}
 }
 
 // Tick sends what is due. Call it at least every MinInterval. load is the
-// present load; its incarnation is set here, its sequence too if it has none or
+// present load. Its incarnation is set here, and its sequence if it has none or
 // an old one.
 func (r *Reporter) Tick(now time.Time, load backend.Load) Effects {
 	var out Effects
-	r.askSeeds(now, &out)
+	r.pullFromSeed(now, &out)
 	r.pullConfig(now, &out)
-	if r.nextAt.IsZero() {
-		// A random first delay keeps the agents of a zone that comes back at
-		// once from reporting in step ever after.
-		r.nextAt = now.Add(r.spread(r.Period()))
-		r.sent = load
+	if r.nextReportAt.IsZero() {
+		// A random first delay keeps the agents of a zone that all start at the
+		// same time from reporting in step permanently.
+		r.nextReportAt = now.Add(r.randomPart(r.Period()))
+		r.lastSent = load
 	}
-	if load.Draining && !r.sent.Draining && r.urgent == 0 {
-		r.urgent = drainRepeats
-		r.drainSeq = r.sequence + 1
+	if load.Draining && !r.lastSent.Draining && r.drainRepeatsLeft == 0 {
+		r.drainRepeatsLeft = maxDrainRepeats
+		r.drainSequence = r.sequence + 1
 	}
-	if r.due(now, load) {
-		r.report(now, load, &out)
+	if r.isDue(now, load) {
+		r.sendReport(now, load, &out)
 	}
 	return out
 }
 
-// due tells whether a report is to be sent now.
-func (r *Reporter) due(now time.Time, load backend.Load) bool {
-	if !now.Before(r.nextAt) {
+// isDue reports whether a report is to be sent now.
+func (r *Reporter) isDue(now time.Time, load backend.Load) bool {
+	if !now.Before(r.nextReportAt) {
 		return true
 	}
-	if now.Sub(r.sentAt) < r.cfg.MinInterval {
+	if now.Sub(r.lastSentAt) < r.cfg.MinInterval {
 		return false
 	}
-	if r.confirm || r.urgent > 0 && !r.drainAcked() {
+	if r.confirmConfig || r.drainRepeatsLeft > 0 && !r.drainAcked() {
 		return true
 	}
-	return changed(r.sent, load) && r.deltas.AllowN(now, 1)
+	return loadChanged(r.lastSent, load) && r.unscheduledLimiter.AllowN(now, 1)
 }
 
-// DrainReported tells whether a load with the drain flag was reported, and either
-// every home that answers knows of it or it was repeated often enough.
+// DrainReported reports whether a load with the drain flag was sent and either
+// every home that isn't suspect has acknowledged it or all its repeats were
+// sent.
 func (r *Reporter) DrainReported() bool {
-	return r.sent.Draining && r.sequence > 0 && (r.urgent == 0 || r.drainAcked())
+	return r.lastSent.Draining && r.sequence > 0 && (r.drainRepeatsLeft == 0 || r.drainAcked())
 }
 
-// drainAcked tells whether every home that answers knows of the drain.
+// drainAcked reports whether every home that isn't suspect has acknowledged the
+// drain.
 func (r *Reporter) drainAcked() bool {
 	for _, h := range r.active {
-		if !h.suspect && h.acked < r.drainSeq {
+		if !h.suspect && h.ackedSequence < r.drainSequence {
 			return false
 		}
 	}
 	return true
 }
 
-// changed tells whether a load differs enough from the last one sent to be
-// worth a report out of turn: half or double the work, and not a trifle.
-func changed(old, now backend.Load) bool {
-	const trifle = 8_000 // tokens
+// loadChanged reports whether a load justifies an unscheduled report: the
+// prefill changed by more than minChange, and by more than half of the greater
+// value.
+func loadChanged(old, now backend.Load) bool {
+	const minChange = 8_000 // tokens
 	before := old.PrefillShort + old.PrefillLong
 	after := now.PrefillShort + now.PrefillLong
 	diff := after - before
 	if diff < 0 {
 		diff = -diff
 	}
-	return diff > trifle && diff > max(before, after)/2
+	return diff > minChange && diff > max(before, after)/2
 }
 
-// report sends one sample to every home.
-func (r *Reporter) report(now time.Time, load backend.Load, out *Effects) {
-	// The load that goes with answers is numbered by the same counter as this
-	// one. With numbers of the reporter's own, which lag behind it, an entry that
-	// had one answer dropped all later reports as old, and its picture of the
-	// backend server stood still until the next answer.
+// sendReport sends one sample to every home.
+func (r *Reporter) sendReport(now time.Time, load backend.Load, out *Effects) {
+	// The load that agents send with answers takes its sequence from the same
+	// counter. With a separate, lower sequence in reports, an entry that had
+	// received one answer dropped all later reports as old, and its data of the
+	// backend server stayed unchanged until the next answer.
 	r.sequence = max(r.sequence+1, load.Sequence)
 	r.round++
 	load.Sequence = r.sequence
-	load.Incarnation = 0 // stands beside it in the message
+	load.Incarnation = 0 // the message has a separate field for it
 	for _, h := range r.active {
-		if h.suspect && r.round%probeEvery != 0 {
+		if h.suspect && r.round%probeEveryRounds != 0 {
 			continue
 		}
-		out.send(h.addr, r.message(h, load))
+		out.send(h.addr, r.reportOrHello(h, load))
 		h.unacked++
 	}
-	r.sent = load
-	r.sentAt = now
-	r.confirm = false
-	r.urgent = max(r.urgent-1, 0)
-	r.deltas.SetLimitAt(now, rate.Every(deltaEvery*r.Period()))
-	r.nextAt = now.Add(r.Period()*9/10 + r.spread(r.Period()/5))
-	r.suspectSilent()
+	r.lastSent = load
+	r.lastSentAt = now
+	r.confirmConfig = false
+	r.drainRepeatsLeft = max(r.drainRepeatsLeft-1, 0)
+	r.unscheduledLimiter.SetLimitAt(now, rate.Every(unscheduledEvery*r.Period()))
+	r.nextReportAt = now.Add(r.Period()*9/10 + r.randomPart(r.Period()/5))
+	r.suspectUnackedHomes()
 }
 
-// message is a report, or a hello to a home that has no descriptor yet.
-func (r *Reporter) message(h *home, load backend.Load) *wirepb.Datagram {
-	if !h.greeted {
-		return r.hello(load)
+// reportOrHello returns a report, or a hello for a home that doesn't have the
+// descriptor yet.
+func (r *Reporter) reportOrHello(h *entryState, load backend.Load) *wirepb.Datagram {
+	if !h.hasDescriptor {
+		return r.newHello(load)
 	}
 	return reportMessage(&wirepb.Report{
 		Key:           wire.Key(r.cfg.Descriptor.Name),
@@ -243,7 +253,7 @@
 	})
 }
 
-func (r *Reporter) hello(load backend.Load) *wirepb.Datagram {
+func (r *Reporter) newHello(load backend.Load) *wirepb.Datagram {
 	return helloMessage(&wirepb.Hello{
 		Descriptor_:   wire.DescriptorMessage(r.cfg.Descriptor, r.incarnation),
 		Load:          wire.LoadMessage(load),
@@ -252,7 +262,7 @@
 	})
 }
 
-// spread returns a random part of d.
-func (r *Reporter) spread(d time.Duration) time.Duration {
+// randomPart returns a random part of d.
+func (r *Reporter) randomPart(d time.Duration) time.Duration {
 	return time.Duration(r.cfg.Rand.Float64() * float64(d))
 }
--- a/membership/reporter_acks.go
+++ b/membership/reporter_acks.go
@@ -8,7 +8,7 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// Handle takes a datagram from an entry.
+// Handle processes a datagram from an entry.
 func (r *Reporter) Handle(now time.Time, from netip.AddrPort, m *wirepb.Datagram) Effects {
 	var out Effects
 	switch body := m.GetBody().(type) {
@@ -16,7 +16,7 @@
 		r.handleAck(now, body.Ack, &out)
 	case *wirepb.Datagram_Describe:
 		if body.Describe.GetKey() == wire.Key(r.cfg.Descriptor.Name) {
-			out.send(from, r.hello(r.sent))
+			out.send(from, r.newHello(r.lastSent))
 		}
 	}
 	return out
@@ -28,41 +28,42 @@
 		return
 	}
 	if ack.GetEntryIncarnation() < h.incarnation {
-		r.oldEntry.Inc(1)
+		r.oldIncarnation.Inc(1)
 		return
 	}
 	h.incarnation = ack.GetEntryIncarnation()
-	r.news.offered(ack.GetConfigVersion(), h.rpc)
+	r.offer.update(ack.GetConfigVersion(), h.rpcAddr)
 	r.pullConfig(now, out)
 	known := ack.GetKnownIncarnation()
 	if known != 0 && known < r.incarnation {
-		// An announcement to a former life. Its sequence would count for this
-		// one's: a drain would be taken for acknowledged.
+		// An announcement to a previous incarnation. Its sequence belongs to
+		// that incarnation; here it would count as the acknowledgement of a
+		// drain.
 		return
 	}
 	h.period = time.Duration(ack.GetPeriodMs()) * time.Millisecond
 	h.unacked = 0
-	h.acked = max(h.acked, ack.GetSequence())
+	h.ackedSequence = max(h.ackedSequence, ack.GetSequence())
 	h.suspect = false
 	h.draining = ack.GetDraining()
-	h.greeted = !ack.GetWantHello()
+	h.hasDescriptor = !ack.GetWantHello()
 	r.chooseHomes()
 	if known > r.incarnation {
-		r.raise(known + 1)
+		r.raiseIncarnation(known + 1)
 	}
-	if !h.greeted {
-		out.send(h.addr, r.hello(r.sent))
+	if !h.hasDescriptor {
+		out.send(h.addr, r.newHello(r.lastSent))
 	}
-	r.listOffered(now, h, ack.GetPeersVersion(), out)
+	r.handlePeersVersion(now, h, ack.GetPeersVersion(), out)
 }
 
-// raise goes above an incarnation that an entry knows of this agent. It happens
-// when the clock stood lower at this start than at an earlier one; all reports
-// would be dropped as old ones otherwise.
-func (r *Reporter) raise(incarnation uint64) {
+// raiseIncarnation sets an incarnation above the one that an entry has of this
+// agent. This happens if the clock was lower at this start than at an earlier
+// one. Otherwise entries would drop all reports as outdated.
+func (r *Reporter) raiseIncarnation(incarnation uint64) {
 	r.incarnation = incarnation
-	r.raised.Inc(1)
+	r.incarnationRaised.Inc(1)
 	for _, h := range r.entries {
-		h.greeted = false
+		h.hasDescriptor = false
 	}
 }
--- a/membership/reporter_homes.go
+++ b/membership/reporter_homes.go
@@ -8,23 +8,23 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// home is what a Reporter knows of one entry.
-type home struct {
-	name        string
-	key         uint64
-	addr        netip.AddrPort
-	rpc         string
-	incarnation uint64
-	draining    bool
-	greeted     bool // it has this incarnation's descriptor
-	unacked     int
-	acked       uint64 // sequence of the newest report that it acknowledged
-	suspect     bool
-	period      time.Duration // that it asks for
-	pulled      uint64        // version of the list that it gave
+// entryState is the state of one entry, whether or not it is a entryState at present.
+type entryState struct {
+	name          string
+	key           uint64
+	addr          netip.AddrPort
+	rpcAddr       string
+	incarnation   uint64
+	draining      bool
+	hasDescriptor bool // it has the descriptor of this incarnation
+	unacked       int
+	ackedSequence uint64 // sequence of the newest acknowledged report
+	suspect       bool
+	period        time.Duration // report period that it requests
+	peersVersion  uint64        // version of the list that it sent
 }
 
-// Homes returns the names of the entries that are reported to.
+// Homes returns the names of the entries that receive reports.
 func (r *Reporter) Homes() []string {
 	names := make([]string, 0, len(r.active))
 	for _, h := range r.active {
@@ -33,52 +33,52 @@
 	return names
 }
 
-// HomeAddresses returns the drpc addresses of the entries that are reported to.
+// HomeAddresses returns the drpc addresses of the entries that receive reports.
 func (r *Reporter) HomeAddresses() []string {
 	addresses := make([]string, 0, len(r.active))
 	for _, h := range r.active {
-		addresses = append(addresses, h.rpc)
+		addresses = append(addresses, h.rpcAddr)
 	}
 	return addresses
 }
 
-// SetPeers takes the list of entries that one of them, source, gave. The list
-// used is the union of those that the present homes gave, so that two homes
-// whose lists differ for a while don't make the agent change homes to and fro.
+// SetPeers stores the list of entries that the entry source sent. The union of
+// the lists of the present homes is used. So an agent doesn't switch back and
+// forth between homes while the lists of two homes differ.
 func (r *Reporter) SetPeers(source string, peers []*wirepb.Peer) {
 	if len(peers) == 0 {
 		return
 	}
-	r.sources[source] = peers
-	r.listAt = time.Time{}
+	r.peerLists[source] = peers
+	r.peersPullAt = time.Time{}
 	if h := r.entries[wire.Key(source)]; h != nil {
-		h.pulled = PeersVersion(peers)
+		h.peersVersion = PeersVersion(peers)
 	}
-	r.forgetSources(source)
-	r.rebuild()
+	r.prunePeerLists(source)
+	r.rankEntries()
 }
 
-// forgetSources drops the lists of entries that are no longer homes or don't
-// answer: a dead entry's last list names itself.
-func (r *Reporter) forgetSources(latest string) {
+// prunePeerLists drops the lists of entries that are no longer homes or are
+// suspect, since the last list of a dead entry contains the entry itself.
+func (r *Reporter) prunePeerLists(latest string) {
 	homes := map[string]bool{latest: true}
 	for _, h := range r.active {
 		homes[h.name] = homes[h.name] || !h.suspect
 	}
-	for name := range r.sources {
+	for name := range r.peerLists {
 		if homes[name] {
 			continue
 		}
-		delete(r.sources, name)
+		delete(r.peerLists, name)
 		if h := r.entries[wire.Key(name)]; h != nil {
-			h.pulled = 0 // ask again when it answers
+			h.peersVersion = 0 // pull again when it answers
 		}
 	}
 }
 
-// rebuild takes the union of the lists and ranks the entries again.
-func (r *Reporter) rebuild() {
-	union := r.union()
+// rankEntries merges the lists and ranks the entries again.
+func (r *Reporter) rankEntries() {
+	union := r.mergedPeers()
 	for key := range r.entries {
 		if _, ok := union[key]; !ok {
 			delete(r.entries, key)
@@ -86,7 +86,7 @@
 	}
 	names := make([]string, 0, len(union))
 	for key, p := range union {
-		r.learn(key, p)
+		r.updateHome(key, p)
 		names = append(names, p.GetName())
 	}
 	r.ranked = r.ranked[:0]
@@ -96,10 +96,11 @@
 	r.chooseHomes()
 }
 
-// union returns the entries of all lists, those of the region if there are any.
-func (r *Reporter) union() map[uint64]*wirepb.Peer {
-	near, all := map[uint64]*wirepb.Peer{}, map[uint64]*wirepb.Peer{}
-	for _, list := range r.sources {
+// mergedPeers returns the entries of all lists, restricted to the agent's region
+// if it has any.
+func (r *Reporter) mergedPeers() map[uint64]*wirepb.Peer {
+	sameRegion, all := map[uint64]*wirepb.Peer{}, map[uint64]*wirepb.Peer{}
+	for _, list := range r.peerLists {
 		for _, p := range list {
 			key := wire.Key(p.GetName())
 			if old := all[key]; old != nil && old.GetIncarnation() > p.GetIncarnation() {
@@ -107,32 +108,34 @@
 			}
 			all[key] = p
 			if p.GetRegion() == r.cfg.Descriptor.Region {
-				near[key] = p
+				sameRegion[key] = p
 			}
 		}
 	}
-	if len(near) > 0 {
-		return near
+	if len(sameRegion) > 0 {
+		return sameRegion
 	}
 	return all
 }
 
-// learn notes an entry of a list. An entry at another address is another life.
-func (r *Reporter) learn(key uint64, p *wirepb.Peer) {
+// updateHome applies an entry of a list. An entry with another address is
+// treated as a new one.
+func (r *Reporter) updateHome(key uint64, p *wirepb.Peer) {
 	h := r.entries[key]
-	addr := address(p.GetDatagramAddress())
+	addr := parseAddrPort(p.GetDatagramAddress())
 	if h == nil || h.addr != addr {
-		h = &home{name: p.GetName(), key: key}
+		h = &entryState{name: p.GetName(), key: key}
 		r.entries[key] = h
 	}
 	h.addr = addr
-	h.rpc = p.GetRpcAddress()
+	h.rpcAddr = p.GetRpcAddress()
 	h.incarnation = max(h.incarnation, p.GetIncarnation())
 	h.draining = p.GetDraining()
 }
 
-// chooseHomes takes the best ranked entries. For each that is suspect the next
-// one stands in, while it lasts; the suspect goes on being probed.
+// chooseHomes selects the best ranked entries that aren't draining. For each
+// suspect home the next entry is added while the suspicion lasts. The suspect
+// home is still probed.
 func (r *Reporter) chooseHomes() {
 	want := r.cfg.Homes
 	if want == 0 {
@@ -154,28 +157,28 @@
 	}
 }
 
-// suspectSilent marks homes that acknowledge nothing any more.
-func (r *Reporter) suspectSilent() {
+// suspectUnackedHomes marks homes as suspect that no longer acknowledge reports.
+func (r *Reporter) suspectUnackedHomes() {
 	for _, h := range r.active {
-		if !h.suspect && h.unacked >= suspectUnacked {
+		if !h.suspect && h.unacked >= suspectAfterUnacked {
 			h.suspect = true
-			r.suspected.Inc(1)
+			r.homesSuspected.Inc(1)
 		}
 	}
 	r.chooseHomes()
 }
 
-// askSeeds asks a seed for the list of entries while no entry answers: at the
-// start, and when all the known ones were replaced while this agent was cut
+// pullFromSeed requests the list of entries from a seed while no entry answers:
+// at the start, and if all known entries were replaced while this agent was cut
 // off.
-func (r *Reporter) askSeeds(now time.Time, out *Effects) {
+func (r *Reporter) pullFromSeed(now time.Time, out *Effects) {
 	if len(r.cfg.Seeds) == 0 || r.anyHealthy() {
 		return
 	}
-	if !r.askedAt.IsZero() && now.Sub(r.askedAt) < r.cfg.Period {
+	if !r.seedAskedAt.IsZero() && now.Sub(r.seedAskedAt) < r.cfg.Period {
 		return
 	}
-	r.askedAt = now
+	r.seedAskedAt = now
 	out.PullPeersFrom = r.cfg.Seeds[r.nextSeed%len(r.cfg.Seeds)]
 	r.nextSeed++
 }
--- a/membership/runner.go
+++ b/membership/runner.go
@@ -16,95 +16,95 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// tickInterval is how often a runner calls Tick. It bounds how late a drain
-// flag goes out.
+// tickInterval is the time between calls of Tick. It bounds the delay of a drain
+// flag.
 const tickInterval = 100 * time.Millisecond
 
-// pullSpread delays a pull at random, so that those who learn of something new
-// at the same time don't all ask at once. An agent pulls configuration without
-// it: entries spread their announcements.
-const pullSpread = time.Second
+// pullJitter is the upper bound of the random delay of a pull, so that those who
+// learn of a change at the same time don't all pull at once. Agents pull
+// configuration without this delay, since entries spread their announcements.
+const pullJitter = time.Second
 
-// PullFuncs are the drpc calls that membership asks for. They run on a goroutine of
-// their own, one of each at a time.
+// PullFuncs are the drpc calls that membership uses. They run on separate
+// goroutines, at most one call of each kind at a time.
 type PullFuncs struct {
 	// Config fetches newer objects from the entry at a drpc address.
 	Config func(ctx context.Context, addr string)
 	// Peers fetches the list of entries from the entry at a drpc address.
 	Peers func(ctx context.Context, addr string) ([]*wirepb.Peer, error)
-	// Servers fetches a page of the backend servers whose home the entry at a
-	// drpc address is. Only entries ask for it.
+	// Servers fetches a page of the backend servers that report to the entry at
+	// a drpc address. Only entries use it.
 	Servers func(ctx context.Context, addr string, after uint64) (*wirepb.Servers, error)
 }
 
-// link joins a pure part to a socket.
-type link struct {
+// transport connects a Reporter or Observer to a socket and to the drpc calls.
+type transport struct {
 	socket *wire.Datagrams
 	pulls  PullFuncs
 	log    logrus.FieldLogger
 
-	ctx          context.Context // of Run; ends the pulls
-	pullsRunning sync.WaitGroup
-	configSpread time.Duration
-	configLimit  time.Duration // of one pull; 0: the caller's own
-	configKnown  func() uint64 // version in force here; nil: not asked
-	configBusy   atomic.Bool
-	peersBusy    atomic.Bool
-	serversBusy  atomic.Bool
+	ctx               context.Context // context of Run; its end cancels the pulls
+	pullGroup         sync.WaitGroup
+	configPullJitter  time.Duration
+	configPullTimeout time.Duration // of one pull; 0: no timeout
+	configInForce     func() uint64 // version in force here; nil: pull in any case
+	pullingConfig     atomic.Bool
+	pullingPeers      atomic.Bool
+	pullingServers    atomic.Bool
 }
 
-// send sends what a step asks for. Errors are counted by the socket; a lost
-// datagram is made up for by the next one.
-func (l *link) send(out Effects) {
+// send sends the datagrams of a step. The socket counts errors. The next
+// datagram makes up for a lost one.
+func (l *transport) send(out Effects) {
 	for _, o := range out.Send {
 		if err := l.socket.Send(o.To, o.Message); err != nil {
-			l.log.WithError(err).Debug("datagram not sent")
+			l.log.WithError(err).Debug("failed to send datagram")
 		}
 	}
 }
 
-// pull starts the calls that a step asks for.
-func (l *link) pull(out Effects, setPeers func(addr string, peers []*wirepb.Peer)) {
+// startPulls starts the drpc calls of a step.
+func (l *transport) startPulls(out Effects, setPeers func(addr string, peers []*wirepb.Peer)) {
 	if l.ctx == nil {
 		return
 	}
 	if out.PullConfigFrom != "" && l.pulls.Config != nil {
-		l.once(&l.configBusy, l.configSpread, func() { l.pullConfig(out.PullConfigFrom, out.PullConfigVersion) })
+		l.startPull(&l.pullingConfig, l.configPullJitter, func() { l.pullConfig(out.PullConfigFrom, out.PullConfigVersion) })
 	}
 	if out.PullPeersFrom != "" && l.pulls.Peers != nil {
-		l.once(&l.peersBusy, pullSpread, func() { l.pullPeers(out.PullPeersFrom, setPeers) })
+		l.startPull(&l.pullingPeers, pullJitter, func() { l.pullPeers(out.PullPeersFrom, setPeers) })
 	}
 }
 
-// pullConfig fetches a version, unless it arrived by other ways meanwhile.
-func (l *link) pullConfig(addr string, version uint64) {
-	if l.configKnown != nil && l.configKnown() >= version {
+// pullConfig fetches a version, unless it has arrived in the meantime.
+func (l *transport) pullConfig(addr string, version uint64) {
+	if l.configInForce != nil && l.configInForce() >= version {
 		return
 	}
 	ctx, cancel := l.ctx, context.CancelFunc(func() {})
-	if l.configLimit > 0 {
-		ctx, cancel = context.WithTimeout(ctx, l.configLimit)
+	if l.configPullTimeout > 0 {
+		ctx, cancel = context.WithTimeout(ctx, l.configPullTimeout)
 	}
 	defer cancel()
 	l.pulls.Config(ctx, addr)
 }
 
-func (l *link) pullPeers(addr string, setPeers func(string, []*wirepb.Peer)) {
+func (l *transport) pullPeers(addr string, setPeers func(string, []*wirepb.Peer)) {
 	peers, err := l.pulls.Peers(l.ctx, addr)
 	if err != nil {
-		l.log.WithError(err).Debug("list of entries not pulled")
+		l.log.WithError(err).Debug("failed to pull list of entries")
 		return
 	}
 	setPeers(addr, peers)
 }
 
-// once runs f after a random delay of up to spread, unless the same kind of call
-// is under way.
-func (l *link) once(busy *atomic.Bool, spread time.Duration, f func()) {
+// startPull runs f after a random delay of up to spread, unless a call of the
+// same kind is in progress.
+func (l *transport) startPull(busy *atomic.Bool, spread time.Duration, f func()) {
 	if !busy.CompareAndSwap(false, true) {
 		return
 	}
-	l.pullsRunning.Go(func() {
+	l.pullGroup.Go(func() {
 		defer busy.Store(false)
 		select {
 		case <-time.After(time.Duration(rand.Float64() * float64(spread))):
@@ -115,7 +115,7 @@
 }
 
 // run calls tick until ctx ends, then closes the socket.
-func (l *link) run(ctx context.Context, tick func(now time.Time)) error {
+func (l *transport) run(ctx context.Context, tick func(now time.Time)) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
@@ -123,8 +123,8 @@
 		case now := <-ticker.C:
 			tick(now)
 		case <-ctx.Done():
-			err := l.socket.Close() // no handler starts a pull behind this
-			l.pullsRunning.Wait()
+			err := l.socket.Close() // no handler starts a pull after this
+			l.pullGroup.Wait()
 			return errors.Trace(err)
 		}
 	}
@@ -133,8 +133,8 @@
 // AgentConfig configures an AgentRunner.
 type AgentConfig struct {
 	ReporterConfig
-	// Listen is the ip:port of the datagram socket. The address that was bound
-	// is announced unless the descriptor names one.
+	// Listen is the ip:port of the datagram socket. The bound address is
+	// announced unless the descriptor contains one.
 	Listen string
 	// Load returns the present load. It must not block.
 	Load  func() backend.Load
@@ -146,7 +146,7 @@
 
 // AgentRunner runs a Reporter on a socket.
 type AgentRunner struct {
-	link
+	transport
 	load func() backend.Load
 
 	mu       sync.Mutex // guards reporter
@@ -155,8 +155,8 @@
 
 // NewAgentRunner binds the socket.
 func NewAgentRunner(cfg AgentConfig) (*AgentRunner, error) {
-	a := &AgentRunner{load: cfg.Load, link: link{pulls: cfg.Pulls, log: cfg.Log, configLimit: pullLimit}}
-	a.mu.Lock() // no datagram is handled before the reporter stands
+	a := &AgentRunner{load: cfg.Load, transport: transport{pulls: cfg.Pulls, log: cfg.Log, configPullTimeout: pullTimeout}}
+	a.mu.Lock() // no datagram is handled before the reporter exists
 	defer a.mu.Unlock()
 	var err error
 	a.socket, err = wire.ListenDatagrams(wire.DatagramConfig{
@@ -176,30 +176,31 @@
 // Addr returns the bound address.
 func (a *AgentRunner) Addr() netip.AddrPort { return a.socket.Addr() }
 
-// Run reports until ctx ends.
+// Run sends reports until ctx ends.
 func (a *AgentRunner) Run(ctx context.Context) error {
 	a.mu.Lock()
 	a.ctx = ctx
 	a.mu.Unlock()
 	return a.run(ctx, func(now time.Time) {
 		load := a.load()
-		a.step(func() Effects { return a.reporter.Tick(now, load) })
+		a.runStep(func() Effects { return a.reporter.Tick(now, load) })
 	})
 }
 
 func (a *AgentRunner) handle(from netip.AddrPort, m *wirepb.Datagram) {
-	a.step(func() Effects { return a.reporter.Handle(time.Now(), from, m) })
+	a.runStep(func() Effects { return a.reporter.Handle(time.Now(), from, m) })
 }
 
-func (a *AgentRunner) step(f func() Effects) {
+func (a *AgentRunner) runStep(f func() Effects) {
 	a.mu.Lock()
 	out := f()
-	a.pull(out, a.setPeers)
+	a.startPulls(out, a.setPeers)
 	a.mu.Unlock()
 	a.send(out)
 }
 
-// setPeers credits a list to the entry that gave it, known by its address.
+// setPeers stores a list under the name of the entry that sent it. The entry is
+// identified by its drpc address.
 func (a *AgentRunner) setPeers(addr string, peers []*wirepb.Peer) {
 	source := ""
 	for _, p := range peers {
@@ -222,10 +223,11 @@
 // EntryConfig configures an EntryRunner.
 type EntryConfig struct {
 	ObserverConfig
-	// Listen is the ip:port of the datagram socket. The address that was bound
-	// is announced unless Self names one.
+	// Listen is the ip:port of the datagram socket. The bound address is
+	// announced unless Self contains one.
 	Listen string
-	// OnEvidence is told of crash evidence that is new here. It must not block.
+	// OnEvidence is called with crash evidence that is new to this entry. It
+	// must not block.
 	OnEvidence func([]*wirepb.Evidence)
 	Pulls      PullFuncs
 	Log        logrus.FieldLogger
@@ -233,11 +235,11 @@
 	DatagramFault wire.DatagramFault
 }
 
-// EntryRunner runs an Observer on a socket. The Table's methods are called
-// under its lock, which is taken before any lock of the table.
+// EntryRunner runs an Observer on a socket. It calls the Table's methods under
+// its lock, so its lock is taken before any lock of the table.
 type EntryRunner struct {
-	link
-	evidence func([]*wirepb.Evidence)
+	transport
+	onEvidence func([]*wirepb.Evidence)
 
 	mu       sync.Mutex // guards observer
 	observer *Observer
@@ -245,9 +247,9 @@
 
 // NewEntryRunner binds the socket.
 func NewEntryRunner(cfg EntryConfig) (*EntryRunner, error) {
-	e := &EntryRunner{evidence: cfg.OnEvidence, link: link{pulls: cfg.Pulls, log: cfg.Log, configSpread: pullSpread}}
-	e.configKnown = e.configRevision
-	e.mu.Lock() // no datagram is handled before the observer stands
+	e := &EntryRunner{onEvidence: cfg.OnEvidence, transport: transport{pulls: cfg.Pulls, log: cfg.Log, configPullJitter: pullJitter}}
+	e.configInForce = e.configRevision
+	e.mu.Lock() // no datagram is handled before the observer exists
 	defer e.mu.Unlock()
 	var err error
 	e.socket, err = wire.ListenDatagrams(wire.DatagramConfig{
@@ -267,64 +269,64 @@
 // Addr returns the bound address.
 func (e *EntryRunner) Addr() netip.AddrPort { return e.socket.Addr() }
 
-// Run listens and passes on until ctx ends.
+// Run receives and relays until ctx ends.
 func (e *EntryRunner) Run(ctx context.Context) error {
 	e.mu.Lock()
 	e.ctx = ctx
 	e.mu.Unlock()
 	return e.run(ctx, func(now time.Time) {
-		e.step(func() Effects { return e.observer.Tick(now) })
+		e.runStep(func() Effects { return e.observer.Tick(now) })
 	})
 }
 
 func (e *EntryRunner) handle(from netip.AddrPort, m *wirepb.Datagram) {
-	e.step(func() Effects { return e.observer.Handle(time.Now(), from, m) })
+	e.runStep(func() Effects { return e.observer.Handle(time.Now(), from, m) })
 }
 
-func (e *EntryRunner) step(f func() Effects) {
+func (e *EntryRunner) runStep(f func() Effects) {
 	e.mu.Lock()
 	out := f()
-	e.pull(out, e.mergePeers)
-	e.pullServers(out)
+	e.startPulls(out, e.mergePeers)
+	e.startServersPull(out)
 	e.mu.Unlock()
 	e.send(out)
-	if len(out.NewEvidence) > 0 && e.evidence != nil {
-		e.evidence(out.NewEvidence)
+	if len(out.NewEvidence) > 0 && e.onEvidence != nil {
+		e.onEvidence(out.NewEvidence)
 	}
 }
 
-// pagePause is between two pages of a list of servers, so that the entry that
-// gives it goes on serving requests.
-const pagePause = 50 * time.Millisecond
+// pageInterval is the pause between two pages of a list of servers, so that the
+// entry that sends them continues to serve requests.
+const pageInterval = 50 * time.Millisecond
 
-// pullServers starts to ask an entry for its servers.
-func (e *EntryRunner) pullServers(out Effects) {
+// startServersPull starts to pull the servers of an entry.
+func (e *EntryRunner) startServersPull(out Effects) {
 	if e.ctx == nil || out.PullServersFrom == "" || e.pulls.Servers == nil {
 		return
 	}
-	e.once(&e.serversBusy, 0, func() {
-		err := e.takeServers(out.PullServersFrom)
+	e.startPull(&e.pullingServers, 0, func() {
+		err := e.pullServerPages(out.PullServersFrom)
 		e.With(func(o *Observer) { o.ServersPulled(err == nil) })
 		if err != nil {
-			e.log.WithError(err).Debug("list of servers not pulled")
+			e.log.WithError(err).Debug("failed to pull list of servers")
 		}
 	})
 }
 
-// takeServers takes page after page.
-func (e *EntryRunner) takeServers(addr string) error {
+// pullServerPages pulls all pages of an entry's servers.
+func (e *EntryRunner) pullServerPages(addr string) error {
 	for after := uint64(0); ; {
 		page, err := e.pulls.Servers(e.ctx, addr, after)
 		if err != nil {
 			return err
 		}
 		e.With(func(o *Observer) { o.MergeServers(time.Now(), page.GetServers()) })
-		if page.GetNext() <= after { // 0, or a giver that goes in circles
+		if page.GetNext() <= after { // 0, or a faulty sender that repeats pages
 			return nil
 		}
 		after = page.GetNext()
 		select {
-		case <-time.After(pagePause):
+		case <-time.After(pageInterval):
 		case <-e.ctx.Done():
 			return errors.Trace(e.ctx.Err())
 		}
@@ -341,9 +343,9 @@
 	return e.observer.config.revision
 }
 
-// AddEvidence spreads evidence that arose here.
+// AddEvidence propagates evidence that originated at this entry.
 func (e *EntryRunner) AddEvidence(list []*wirepb.Evidence) {
-	e.step(func() Effects { return e.observer.AddEvidence(time.Now(), list) })
+	e.runStep(func() Effects { return e.observer.AddEvidence(time.Now(), list) })
 }
 
 // With calls f with the Observer under the runner's lock. f must not block.
--- a/membership/runner_test.go
+++ b/membership/runner_test.go
@@ -14,31 +14,31 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// observed tells a test of the first row of each server.
-type observed struct {
+// firstObserved sends the descriptor of the first Observe call to a channel.
+type firstObserved struct {
 	once sync.Once
 	seen chan backend.Descriptor
 }
 
-func (o *observed) Observe(d backend.Descriptor, _ uint64, _ backend.Load, _ time.Time) {
+func (o *firstObserved) Observe(d backend.Descriptor, _ uint64, _ backend.Load, _ time.Time) {
 	o.once.Do(func() { o.seen <- d })
 }
 
-func (o *observed) ObserveLoad(_, _ uint64, _ backend.Load, _ time.Duration, _ time.Time) bool {
+func (o *firstObserved) ObserveLoad(_, _ uint64, _ backend.Load, _ time.Duration, _ time.Time) bool {
 	return true
 }
-func (o *observed) ObserveListed(backend.Descriptor, uint64, backend.Load, time.Duration, time.Time) {
+func (o *firstObserved) ObserveListed(backend.Descriptor, uint64, backend.Load, time.Duration, time.Time) {
 }
-func (o *observed) MarkSuspect(uint64) {}
-func (o *observed) MarkLeaving(uint64) {}
-func (o *observed) MarkDead(uint64)    {}
+func (o *firstObserved) MarkSuspect(uint64) {}
+func (o *firstObserved) MarkLeaving(uint64) {}
+func (o *firstObserved) MarkDead(uint64)    {}
 
-// TestRunnersMeetOnSockets: an agent that has only a seed's drpc address finds
-// the entry and is known there.
-func TestRunnersMeetOnSockets(t *testing.T) {
+// An agent that has only the drpc address of a seed must find the entry and
+// report to it.
+func TestRunnersConnectOverSockets(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	table := &observed{seen: make(chan backend.Descriptor, 1)}
+	table := &firstObserved{seen: make(chan backend.Descriptor, 1)}
 	entry, err := NewEntryRunner(EntryConfig{
 		Listen: "127.0.0.1:0",
 		Log:    log,
@@ -81,7 +81,7 @@
 		})
 	}
 	if d := <-table.seen; d.Name != "briar-0" || d.DatagramAddress != agent.Addr().String() {
-		t.Errorf("got %+v", d)
+		t.Errorf("observed descriptor %+v", d)
 	}
 	cancel()
 	running.Wait()
--- a/membership/servers.go
+++ b/membership/servers.go
@@ -10,96 +10,98 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// Filling the table. An entry that starts hears only the agents whose home it
-// is. Digests would tell it of the rest a few rows a second, and each would cost
-// a request for the descriptor. So it asks each other entry once for the servers
-// whose home that one is. A list of all servers from one entry would load that
-// one, and would be as old as what it once took over itself.
+// Filling the table of a new entry. An entry that starts receives reports only
+// from the agents whose home it is. Digests would bring the others at a few rows
+// a second, and each would cost a request for the descriptor. So the entry pulls
+// from each other entry once the servers that report there. A list of all
+// servers from a single entry would put the whole load on that entry, and would
+// be as old as the data that it had itself received from others.
 const (
-	// serversPage is the default and the most of one page; a page of 100 is
-	// some 25 KB.
-	serversPage = 100
-	// fillSpread delays the start at random, so that the entries of a zone that
-	// starts don't ask in step.
+	// maxServersPage is the default and the maximum number of servers in a page.
+	// A page of 100 has about 25 KB.
+	maxServersPage = 100
+	// fillSpread is the upper bound of the random delay of the start, so that
+	// the entries of a zone that starts don't pull in step.
 	fillSpread = 2 * time.Second
-	// fillWindow is the time in which entries that are learned of later are
-	// asked as well: the list of entries comes in several parts at a start.
-	fillWindow = 10 * time.Second
-	// fillRetries bounds the calls that are made again. Each server has two
-	// homes, so that one that can't be asked loses little.
-	fillRetries = 8
-	// fillAfterPause is the pause of this process, or the time in which it
-	// heard nobody, after which it asks again.
-	fillAfterPause = 10 * time.Second
-	// descriptorKeep is how long the descriptor of a server that nobody
-	// mentions is kept, so that the next row about it can be used at once.
-	descriptorKeep = time.Hour
+	// fillEnqueueWindow is the time in which entries that are added to the list
+	// are pulled from as well. At a start the list of entries arrives in several
+	// parts.
+	fillEnqueueWindow = 10 * time.Second
+	// maxFillRetries bounds the calls that are repeated. Each server has two
+	// homes, so little is lost if one of them can't be reached.
+	maxFillRetries = 8
+	// refillAfterPause is the length of a pause of this process, or of a time
+	// without any datagram, after which it pulls again.
+	refillAfterPause = 10 * time.Second
+	// descriptorTTL is how long the descriptor of a server without new samples
+	// is kept, so that the next row about the server can be used at once.
+	descriptorTTL = time.Hour
 )
 
-// fill is the state of asking other entries for servers.
-type fill struct {
-	begin   time.Time // zero: not yet set
-	asked   map[uint64]bool
-	queue   []uint64 // keys of entries
-	asking  uint64   // 0: nobody
-	retries int
+// tableFill is the state of pulling servers from other entries.
+type tableFill struct {
+	startAt  time.Time // zero: not set yet
+	enqueued map[uint64]bool
+	queue    []uint64 // keys of entries
+	inFlight uint64   // key of the entry being pulled from; 0: none
+	retries  int
 }
 
-// refill begins anew.
-func (o *Observer) refill() { o.fill = fill{asking: o.fill.asking} }
+// resetTableFill starts again, but keeps the call in progress.
+func (o *Observer) resetTableFill() { o.tableFill = tableFill{inFlight: o.tableFill.inFlight} }
 
-// fillTable asks the next entry when the last answered.
+// fillTable pulls from the next entry when the last call has ended.
 func (o *Observer) fillTable(now time.Time, out *Effects) {
-	f := &o.fill
+	f := &o.tableFill
 	if len(o.peers.all) == 0 {
 		return
 	}
-	if f.begin.IsZero() {
-		f.begin = now.Add(time.Duration(o.cfg.Rand.Float64() * float64(fillSpread)))
-		f.asked = map[uint64]bool{}
+	if f.startAt.IsZero() {
+		f.startAt = now.Add(time.Duration(o.cfg.Rand.Float64() * float64(fillSpread)))
+		f.enqueued = map[uint64]bool{}
 	}
-	if now.Sub(f.begin) < fillWindow {
+	if now.Sub(f.startAt) < fillEnqueueWindow {
 		f.enqueue(o.peers.keys, o.cfg.Rand)
 	}
-	if now.Before(f.begin) || f.asking != 0 || len(f.queue) == 0 {
+	if now.Before(f.startAt) || f.inFlight != 0 || len(f.queue) == 0 {
 		return
 	}
 	key := f.queue[0]
 	f.queue = f.queue[1:]
 	if p := o.peers.all[key]; p != nil && !p.dead {
-		f.asking = key
+		f.inFlight = key
 		out.PullServersFrom = p.info.GetRpcAddress()
 	}
 }
 
-// enqueue adds the entries that weren't asked yet, in random order.
-func (f *fill) enqueue(keys []uint64, rnd *rand.Rand) {
+// enqueue adds the entries that weren't enqueued before, in random order.
+func (f *tableFill) enqueue(keys []uint64, rnd *rand.Rand) {
 	for _, key := range keys {
-		if !f.asked[key] {
-			f.asked[key] = true
+		if !f.enqueued[key] {
+			f.enqueued[key] = true
 			i := rnd.IntN(len(f.queue) + 1)
 			f.queue = slices.Insert(f.queue, i, key)
 		}
 	}
 }
 
-// ServersPulled notes that the entry which was asked last gave its list, or that
-// the call failed.
+// ServersPulled records the end of the call that PullServersFrom requested, and
+// whether it succeeded.
 func (o *Observer) ServersPulled(ok bool) {
-	f := &o.fill
-	if !ok && f.retries < fillRetries {
+	f := &o.tableFill
+	if !ok && f.retries < maxFillRetries {
 		f.retries++
-		f.queue = append(f.queue, f.asking)
+		f.queue = append(f.queue, f.inFlight)
 	}
-	f.asking = 0
+	f.inFlight = 0
 }
 
-// Servers returns a page of the servers that report here, in the order of their
-// keys, as another entry is told.
+// Servers returns a page of the servers that report here, ordered by key, to be
+// sent to another entry.
 func (o *Observer) Servers(now time.Time, after uint64, limit uint32) *wirepb.Servers {
-	size := int(min(limit, serversPage))
+	size := int(min(limit, maxServersPage))
 	if size == 0 {
-		size = serversPage
+		size = maxServersPage
 	}
 	page := &wirepb.Servers{}
 	for _, key := range slices.Sorted(maps.Keys(o.agents)) {
@@ -120,8 +122,8 @@
 	return page
 }
 
-// MergeServers takes a page of another entry's list. What is known better here
-// stays; what is out of bounds is left out.
+// MergeServers applies a page of another entry's list. It skips what is older
+// than the data held here and what Check rejects.
 func (o *Observer) MergeServers(now time.Time, list []*wirepb.ServerStatus) {
 	for _, s := range list {
 		hello := &wirepb.Hello{Descriptor_: s.GetDescriptor_(), Load: s.GetLoad()}
@@ -134,7 +136,7 @@
 func (o *Observer) mergeServer(now time.Time, s *wirepb.ServerStatus) {
 	d := s.GetDescriptor_()
 	key := wire.Key(d.GetName())
-	age := time.Duration(min(s.GetAgeMs(), uint64(descriptorKeep.Milliseconds()))) * time.Millisecond
+	age := time.Duration(min(s.GetAgeMs(), uint64(descriptorTTL.Milliseconds()))) * time.Millisecond
 	a := o.agents[key]
 	if a != nil && d.GetIncarnation() < a.incarnation {
 		return
@@ -143,51 +145,51 @@
 		return
 	}
 	if a != nil && a.direct && d.GetIncarnation() == a.incarnation {
-		return // heard here, in full
+		return // received directly, with all fields
 	}
 	if a == nil {
 		a = &agent{key: key, name: d.GetName()}
 		o.agents[key] = a
 	}
-	// A list doesn't tell which descriptor of one incarnation is the newer, and
-	// the table keeps the one it has. Digests tell if it has changed.
+	// A list doesn't show which descriptor of an incarnation is newer, and the
+	// table keeps the one it has. Digests show whether it has changed.
 	if a.descriptor == nil || d.GetIncarnation() > a.incarnation {
-		a.describe(d)
+		a.setDescriptor(d)
 	}
 	o.setDirect(a, false)
 	load := wire.LoadOf(s.GetLoad())
-	load.Sequence = 0 // its age orders it
+	load.Sequence = 0 // ordered by its age
 	load.Incarnation = a.incarnation
 	if a.load.Draining && !load.Draining {
-		return // a drain isn't taken back within an incarnation
+		return // a drain isn't undone within an incarnation
 	}
-	o.sample(now, a, load, max(age, time.Nanosecond))
-	if age > foreignForget {
+	o.recordSample(now, a, load, max(age, time.Nanosecond))
+	if age > indirectServerTTL {
 		a.gone = true
 		return
 	}
-	o.list(now, a, age)
+	o.observeListed(now, a, age)
 }
 
-// describe takes a descriptor of the same or a newer incarnation.
-func (a *agent) describe(d *wirepb.Descriptor) {
+// setDescriptor stores a descriptor of the same or a newer incarnation.
+func (a *agent) setDescriptor(d *wirepb.Descriptor) {
 	if d.GetIncarnation() > a.incarnation {
-		*a = agent{key: a.key, name: a.name, direct: a.direct, leaving: a.leaving}
+		*a = agent{key: a.key, name: a.name, direct: a.direct, leavingIncarnation: a.leavingIncarnation}
 	}
 	a.descriptor = d
 	a.hash = descriptorHash(d)
 	a.incarnation = d.GetIncarnation()
 	a.pool = d.GetPool()
-	a.addr = address(d.GetDatagramAddress())
+	a.addr = parseAddrPort(d.GetDatagramAddress())
 }
 
-// list puts a server whose descriptor is kept into the table with the last
-// sample of it. It returns false if there is no descriptor.
-func (o *Observer) list(now time.Time, a *agent, age time.Duration) bool {
+// observeListed adds a server with a known descriptor and its last sample to the
+// table. It returns false if there is no descriptor.
+func (o *Observer) observeListed(now time.Time, a *agent, age time.Duration) bool {
 	if a.descriptor == nil {
 		return false
 	}
 	o.cfg.Table.ObserveListed(wire.DescriptorOf(a.descriptor), a.incarnation, a.load, age, now)
-	o.remindLeaving(a)
+	o.reapplyLeaving(a)
 	return true
 }
