--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -11,46 +11,49 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// bodyPartBytes is the greatest BodyPart of the contract.
+// bodyPartBytes is the maximum size of a BodyPart in the wire protocol.
 const bodyPartBytes = 256 << 10
 
 // Errors of an attempt.
 const (
-	errAdmitWait  = errors.ConstError("no admission in time")
-	errUnexpected = errors.ConstError("unexpected message")
+	errAdmissionTimeout = errors.ConstError("timed out waiting for admission")
+	errUnexpected       = errors.ConstError("unexpected message")
 )
 
-// result is how one attempt ended. Exactly one of refuse, end and err is set.
+// result is the outcome of one attempt. Exactly one of refuse, end and err is
+// set, except that err can be set with an end whose answer is incomplete or
+// could not be delivered.
 type result struct {
-	peer   string
-	sent   bool // a byte of the body may have left
-	chunks int  // that this attempt brought
+	server string
+	sent   bool // part of the body may have been sent
+	chunks int  // received from this attempt
 	refuse *wirepb.Refuse
 	end    *wirepb.End
 	err    error
-	// callerErr: the answer could not be given to the caller. The attempt
-	// itself was not at fault and trying again is of no use.
+	// callerErr is set if the answer could not be delivered to the caller. The
+	// attempt did not cause this, so a retry would not help.
 	callerErr error
 }
 
-// hooks are what an attempt calls back. Nil ones are skipped.
+// hooks are the callbacks of an attempt. Nil hooks are skipped.
 type hooks struct {
-	sending func() // before the first byte of the body leaves
-	head    func(*wirepb.Head) error
-	chunk   func(*wirepb.Chunk) error
+	beforeBody func() // called before the first byte of the body is sent
+	head       func(*wirepb.Head) error
+	chunk      func(*wirepb.Chunk) error
 }
 
-// exchange runs one Start on one agent to its end. It never outlives ctx: a
-// broken stream is how the agent learns that it must free the run.
-func (e *Entry) exchange(ctx context.Context, to routing.Choice, start *wirepb.Start, body []byte, h hooks) result {
+// runAttempt runs one attempt on one agent to its end. The stream is closed when
+// ctx ends, by which the agent detects that it must end the run.
+func (e *Entry) runAttempt(ctx context.Context, to routing.Choice, start *wirepb.Start, body []byte, h hooks) result {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	e.meters.attempts.Inc(1)
-	res := result{peer: to.Name}
+	e.metrics.attempts.Inc(1)
+	res := result{server: to.Name}
 
-	// An agent that is paused, or whose packets are dropped, answers nothing. The
-	// caller would see its whole time limit pass without a try elsewhere.
-	wait := time.AfterFunc(e.admitWait(start), func() { cancel(errAdmitWait) })
+	// An agent that is paused, or whose packets are dropped, sends no response.
+	// Without this timeout the request would use up its whole time limit without
+	// an attempt on another server.
+	wait := time.AfterFunc(e.admissionTimeout(start), func() { cancel(errAdmissionTimeout) })
 	defer wait.Stop()
 
 	stream, err := e.cfg.AgentClient.Run(ctx, to.RPCAddress)
@@ -63,22 +66,22 @@
 		res.err = stepError(ctx, err, "start", to.Name)
 		return res
 	}
-	admit := e.admission(ctx, stream, to, &res)
+	admit := e.awaitAdmission(ctx, stream, to, &res)
 	if admit == nil {
 		return res
 	}
-	if !wait.Stop() { // it fired while the admission was on its way
-		res.err = stepError(ctx, errAdmitWait, "admission", to.Name)
+	if !wait.Stop() { // the timeout fired while the admission was in transit
+		res.err = stepError(ctx, errAdmissionTimeout, "admission", to.Name)
 		return res
 	}
-	w := &watched{server: to.Name, incarnation: admit.GetLoad().GetIncarnation(), cancel: cancel}
-	w.hear(time.Now())
+	w := &watchedAttempt{server: to.Name, incarnation: admit.GetLoad().GetIncarnation(), cancel: cancel}
+	w.touch(time.Now())
 	if start.GetIdempotent() {
 		defer e.watch.add(w)()
 	}
 	res.sent = true
-	if h.sending != nil {
-		h.sending()
+	if h.beforeBody != nil {
+		h.beforeBody()
 	}
 	if err := sendBody(stream, body); err != nil {
 		res.err = stepError(ctx, err, "body", to.Name)
@@ -88,22 +91,23 @@
 	return res
 }
 
-func (e *Entry) admitWait(start *wirepb.Start) time.Duration {
+func (e *Entry) admissionTimeout(start *wirepb.Start) time.Duration {
 	if start.GetLong() || start.GetAlone() {
 		return e.limits.LongAdmissionTimeout
 	}
 	return e.limits.AdmissionTimeout
 }
 
-// admission waits for Admit or Refuse. It returns nil if it wasn't Admit.
-func (e *Entry) admission(ctx context.Context, stream wirepb.DRPCAgent_RunClient, to routing.Choice, res *result) *wirepb.Admit {
+// awaitAdmission waits for Admit or Refuse. It returns nil unless it received
+// Admit.
+func (e *Entry) awaitAdmission(ctx context.Context, stream wirepb.DRPCAgent_RunClient, to routing.Choice, res *result) *wirepb.Admit {
 	down, err := stream.Recv()
 	if err != nil {
 		res.err = stepError(ctx, err, "admission", to.Name)
 		return nil
 	}
 	if refuse := down.GetRefuse(); refuse != nil {
-		e.observe(to.Name, refuse.GetLoad())
+		e.observeLoad(to.Name, refuse.GetLoad())
 		res.refuse = refuse
 		return nil
 	}
@@ -112,7 +116,7 @@
 		res.err = errors.Annotatef(errUnexpected, "step admission, peer %s, %T", to.Name, down.GetBody())
 		return nil
 	}
-	e.observe(to.Name, admit.GetLoad())
+	e.observeLoad(to.Name, admit.GetLoad())
 	return admit
 }
 
@@ -130,21 +134,21 @@
 	}
 }
 
-// receive relays the answer until its end.
-func (e *Entry) receive(ctx context.Context, stream wirepb.DRPCAgent_RunClient, w *watched, h hooks, res *result) {
+// receive passes the answer to the hooks until it ends.
+func (e *Entry) receive(ctx context.Context, stream wirepb.DRPCAgent_RunClient, w *watchedAttempt, h hooks, res *result) {
 	for {
 		down, err := stream.Recv()
 		if err != nil {
 			res.err = stepError(ctx, err, "answer", w.server)
 			return
 		}
-		w.hear(time.Now())
+		w.touch(time.Now())
 		if end := down.GetEnd(); end != nil {
-			e.observe(w.server, end.GetLoad())
+			e.observeLoad(w.server, end.GetLoad())
 			res.end = end
 			return
 		}
-		if err := h.take(down, res); err != nil {
+		if err := h.handle(down, res); err != nil {
 			var caller *callerError
 			if errors.As(err, &caller) {
 				res.callerErr = caller
@@ -155,8 +159,8 @@
 	}
 }
 
-// take passes a head or a chunk on.
-func (h *hooks) take(down *wirepb.RunDown, res *result) error {
+// handle passes a head or a chunk to its hook.
+func (h *hooks) handle(down *wirepb.RunDown, res *result) error {
 	switch m := down.GetBody().(type) {
 	case *wirepb.RunDown_Chunk:
 		res.chunks++
@@ -173,16 +177,16 @@
 	return nil
 }
 
-// observe takes in the load that an agent sent with an answer.
-func (e *Entry) observe(name string, l *wirepb.Load) {
+// observeLoad records the load that an agent sent with a response.
+func (e *Entry) observeLoad(name string, l *wirepb.Load) {
 	if l == nil {
 		return
 	}
 	e.cfg.Servers.ObserveResponse(name, wire.LoadOf(l), time.Now())
 }
 
-// stepError names the step and peer, and the cause where the entry itself ended
-// the attempt.
+// stepError annotates err with the step and the peer. If ctx has ended, its
+// cancellation cause replaces err.
 func stepError(ctx context.Context, err error, step, peer string) error {
 	if cause := context.Cause(ctx); cause != nil {
 		err = cause
--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -7,18 +7,19 @@
 	"github.com/briarturn/briarturn/request"
 )
 
-// BenchmarkEntryAlone measures the entry's own work for one request, without
-// sockets: parse, admit, queue, choose, one attempt over net.Pipe, relay.
+// BenchmarkEntryAlone measures the work of the entry for one request without
+// sockets: parsing, admission, queueing, server choice, one attempt over
+// net.Pipe and relaying the answer.
 func BenchmarkEntryAlone(b *testing.B) {
-	t := newBench(b, fleet(&fakeAgent{script: answers(1)}), Limits{})
-	openWindow(t.scheduler)
+	t := newTestEntry(b, newFakeFleet(&fakeAgent{script: respondTokens(1)}), Limits{})
+	removeCapacityLimits(t.scheduler)
 	b.ReportAllocs()
 	for b.Loop() {
 		chat(t, streamBodyText)
 	}
 }
 
-// BenchmarkParse measures parsing, fingerprint and prefix hashes of prompts.
+// BenchmarkParse measures parsing, fingerprinting and prefix hashing of prompts.
 func BenchmarkParse(b *testing.B) {
 	for name, size := range map[string]int{"4KB": 4 << 10, "4MB": 4 << 20} {
 		body := chatJSON(strings.Repeat("x", size), 8, false)
@@ -31,7 +32,7 @@
 					b.Fatal(f)
 				}
 				parsed.fingerprint()
-				parsed.prefix()
+				parsed.prefixHashes()
 			}
 		})
 	}
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -12,21 +12,21 @@
 	"github.com/briarturn/briarturn/request"
 )
 
-// maxRecordedAnswer bounds what is offered to a claim's record. The Claimer may
-// keep less.
+// maxRecordedAnswer is the maximum size of a body, in bytes, that is put into a
+// claim's record. The Claimer may store less.
 const maxRecordedAnswer = 4 << 10
 
-// recorded is a finished answer as a claim's record keeps it.
-type recorded struct {
+// recordedAnswer is a completed answer as stored in a claim's record.
+type recordedAnswer struct {
 	status      int
 	contentType string
 	body        []byte
 }
 
-// record makes the claim's record. Its first line holds the request's
-// fingerprint, by which a key that was used for other content is noticed, and
-// the content type.
-func (a recorded) record(fingerprint uint64) claim.Record {
+// claimRecord encodes the answer as a claim's record. Its first line holds the
+// request's fingerprint, which detects the reuse of a key with different content,
+// and the content type.
+func (a recordedAnswer) claimRecord(fingerprint uint64) claim.Record {
 	if len(a.body) > maxRecordedAnswer {
 		return claim.Record{Status: a.status, Truncated: true}
 	}
@@ -34,39 +34,41 @@
 	return claim.Record{Status: a.status, Response: append([]byte(head), a.body...)}
 }
 
-// recordedIn reads a claim's record. ok is false if its answer isn't kept.
-func recordedIn(r claim.Record) (a recorded, fingerprint uint64, ok bool) {
+// parseRecord decodes a claim's record. ok is false if the record doesn't hold
+// the answer.
+func parseRecord(r claim.Record) (a recordedAnswer, fingerprint uint64, ok bool) {
 	head, body, found := bytes.Cut(r.Response, []byte("\n"))
 	if r.Truncated || !found {
-		return recorded{}, 0, false
+		return recordedAnswer{}, 0, false
 	}
 	var contentType string
 	mark, rest, _ := bytes.Cut(head, []byte(" "))
 	contentType = string(rest)
 	if _, err := fmt.Sscanf(string(mark), "%x", &fingerprint); err != nil {
-		return recorded{}, 0, false
+		return recordedAnswer{}, 0, false
 	}
-	return recorded{status: r.Status, contentType: contentType, body: body}, fingerprint, true
+	return recordedAnswer{status: r.Status, contentType: contentType, body: body}, fingerprint, true
 }
 
-// needsClaim reports whether a resend of the request could make it run twice. A
-// non-idempotent request without a key can't be told from a new one: it is
-// dispatched once and never retried, and no record of it is of use.
+// needsClaim reports whether a claim must protect the request from running
+// twice if the caller resends it. A resent non-idempotent request without a
+// key can't be distinguished from a new one: it is dispatched once and never
+// retried, and a claim would not help.
 func (c *call) needsClaim() bool { return !c.spec.Idempotent && c.spec.IdempotencyKey != "" }
 
 func (c *call) claimKey() claim.Key {
 	return claim.Key{Workspace: c.spec.Workspace, IdempotencyKey: c.spec.IdempotencyKey}
 }
 
-// claim records that the request is about to run. done tells that the caller
-// has been given the answer of an earlier request with the key.
+// claim records that the request is about to run. done reports that the caller
+// has received the recorded answer of an earlier request with the same key.
 func (c *call) claim(ctx context.Context) (grant claim.Grant, done bool, f *request.Failure) {
 	if c.e.cfg.Claimer == nil {
-		return grant, false, c.noClaim(claim.ErrNotRun)
+		return grant, false, c.claimFailure(claim.ErrNotRun)
 	}
 	grant, err := c.e.cfg.Claimer.Claim(ctx, c.claimKey(), claim.Request{ID: c.spec.ID, FirstSend: c.spec.FirstSend})
 	if err != nil {
-		return grant, false, c.noClaim(err)
+		return grant, false, c.claimFailure(err)
 	}
 	if grant.Fresh {
 		return grant, false, nil
@@ -75,17 +77,18 @@
 	case claim.Done:
 		done, f = c.replay(grant.Prior.Record)
 	case claim.Running:
-		f = c.earlier(reasonInProgress, "an earlier request with this key is in progress")
+		f = c.earlierRequestFailure(reasonInProgress, "an earlier request with this key is in progress")
 		f.RetryAfter = retrySoon
 	default:
-		f = c.earlier(reasonEarlierUnknown, "an earlier request with this key was dispatched and its outcome is not known")
+		f = c.earlierRequestFailure(reasonEarlierUnknown, "an earlier request with this key was dispatched and its outcome is unknown")
 	}
 	return grant, done, f
 }
 
-// noClaim is the failure where no claim was made. This request has not run; the
-// code speaks of the key, under which an earlier one may have.
-func (c *call) noClaim(err error) *request.Failure {
+// claimFailure returns the failure of a request whose claim failed. This
+// request has not run, but the code is outcome_unknown where an earlier
+// request with the same key may have run.
+func (c *call) claimFailure(err error) *request.Failure {
 	if errors.Is(err, claim.ErrBadKey) {
 		return notRun(http.StatusBadRequest, reasonBadKey, "claim", err.Error(), 0)
 	}
@@ -96,53 +99,56 @@
 	return f
 }
 
-// earlier is the failure where an earlier request with the key may have run.
-func (c *call) earlier(reason, message string) *request.Failure {
+// earlierRequestFailure returns the failure of a request whose key belongs to an
+// earlier request that may have run.
+func (c *call) earlierRequestFailure(reason, message string) *request.Failure {
 	f := notRun(http.StatusConflict, reason, "claim", message, 0)
 	f.Code = request.OutcomeUnknown
 	return f
 }
 
-// replay gives the recorded answer.
+// replay returns the recorded answer to the caller. It fails if the answer isn't
+// stored or the key was used with different content.
 func (c *call) replay(r claim.Record) (bool, *request.Failure) {
-	a, fingerprint, ok := recordedIn(r)
+	a, fingerprint, ok := parseRecord(r)
 	if !ok {
-		return false, c.earlier(reasonFinished, "an earlier request with this key ran to its end; its answer is not kept")
+		return false, c.earlierRequestFailure(reasonFinished, "an earlier request with this key has completed; its answer is not stored")
 	}
 	if fingerprint != c.spec.Fingerprint {
 		return false, notRun(http.StatusUnprocessableEntity, reasonKeyReused, "claim",
-			"this key was used before with other content", 0)
+			"this key was already used with different content", 0)
 	}
-	c.e.meters.count("entry.replayed")
-	if err := c.out.replay(a); err != nil {
-		return false, c.failure(statusClientClosed, reasonCancelled, "replay", err.Error(), 0)
+	c.e.metrics.count("entry.replayed")
+	if err := c.sink.replay(a); err != nil {
+		return false, c.newFailure(statusClientClosed, reasonCancelled, "replay", err.Error(), 0)
 	}
 	return true, nil
 }
 
-// settle records how a claimed request ended. If the record is lost, the claim
-// stays open and a resend is told outcome_unknown, which is true.
+// settle records the outcome of a claimed request. If the record is lost, the
+// claim stays open and a resent request correctly fails with outcome_unknown.
 func (c *call) settle(grant claim.Grant, f *request.Failure) {
 	outcome := claim.Outcome{Kind: claim.OutcomeUnknown}
 	switch {
 	case f == nil:
-		outcome = claim.Outcome{Kind: claim.OutcomeDone, Record: c.out.record().record(c.spec.Fingerprint)}
+		outcome = claim.Outcome{Kind: claim.OutcomeDone, Record: c.sink.record().claimRecord(c.spec.Fingerprint)}
 	case f.Code == request.NotRun:
-		// The caller will resend at once; its key must be free by then.
-		ctx, cancel := context.WithTimeout(context.Background(), freeKeyTime)
+		// The caller may resend immediately, so its key must be released before
+		// the response.
+		ctx, cancel := context.WithTimeout(context.Background(), freeKeyTimeout)
 		defer cancel()
-		c.write(ctx, grant, claim.Outcome{Kind: claim.OutcomeNotRun})
+		c.writeOutcome(ctx, grant, claim.Outcome{Kind: claim.OutcomeNotRun})
 		return
 	}
 	c.e.inFlight.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), settleTime)
+		ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 		defer cancel()
-		c.write(ctx, grant, outcome)
+		c.writeOutcome(ctx, grant, outcome)
 	})
 }
 
-func (c *call) write(ctx context.Context, grant claim.Grant, o claim.Outcome) {
+func (c *call) writeOutcome(ctx context.Context, grant claim.Grant, o claim.Outcome) {
 	if err := c.e.cfg.Claimer.Settle(ctx, grant, o); err != nil {
-		c.e.meters.count("entry.settle_failed")
+		c.e.metrics.count("entry.settle_failed")
 	}
 }
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -17,60 +17,64 @@
 )
 
 const (
-	// backoffFirst and backoffMost bound the pause after every candidate has
-	// refused. It doubles from round to round and is jittered, so that entries
-	// that were refused together don't come back together.
-	backoffFirst = 25 * time.Millisecond
-	backoffMost  = time.Second
-	// emptyRounds is how often a pool without any candidate is looked at again.
-	emptyRounds = 5
-	// waitRefusals is how many refusals bound the wait; waitSlack is added to
-	// what the policy expects, so that an engine that is hardly busier than
-	// expected doesn't refuse.
-	waitRefusals = 2
-	waitSlack    = 20 * time.Millisecond
-	// holdersAsked bounds the servers looked at because of their cache.
-	holdersAsked = 4
-	// settleTime bounds the write that records a claim's end.
-	settleTime = 5 * time.Second
-	// freeKeyTime bounds how long a refusal waits until its key is free again.
-	freeKeyTime = time.Second
+	// minBackoff and maxBackoff bound the delay after all candidates have
+	// refused. The delay doubles with each round and is jittered, so that
+	// entries that were refused at the same time don't retry at the same time.
+	minBackoff = 25 * time.Millisecond
+	maxBackoff = time.Second
+	// maxEmptyRounds is how many times a pool without any candidate is checked
+	// again.
+	maxEmptyRounds = 5
+	// boundedWaitRefusals is the number of refusals from which on a request is
+	// sent without a limit on its queue wait. queueWaitSlack is added to the
+	// wait that the policy expects, so that an engine that is only slightly
+	// busier than expected doesn't refuse.
+	boundedWaitRefusals = 2
+	queueWaitSlack      = 20 * time.Millisecond
+	// maxCacheHolders is the maximum number of servers that are considered
+	// because they may have the prompt's prefix cached.
+	maxCacheHolders = 4
+	// settleTimeout is the time limit for recording the outcome of a claim.
+	settleTimeout = 5 * time.Second
+	// freeKeyTimeout is how long the response to a request that has not run waits
+	// for the release of its key.
+	freeKeyTimeout = time.Second
 )
 
-// errNoCandidate: the policy found no server for the request.
+// errNoCandidate reports that the policy found no server for the request.
 const errNoCandidate = errors.ConstError("no backend server for the request")
 
-// call is one caller's request inside the entry. One goroutine owns it.
+// call is the state of one caller's request in the entry. One goroutine owns it.
 type call struct {
 	e    *Entry
 	spec *request.Spec
-	body *chatBody // nil for a plain service
+	body *requestBody // nil for a plain service
 	pool string
-	// engineTokens is the declared KV memory of the pool's engines.
+	// engineTokens is the declared KV memory of the pool's engines, in tokens.
 	engineTokens int64
 	policy       routing.Policy
 	shortShare   float64 // see routing.Query
-	life         *request.Lifecycle
-	asm          *request.Assembler
-	out          sink
+	lifecycle    *request.Lifecycle
+	assembler    *request.Assembler
+	sink         sink
 	rnd          *rand.Rand
 
-	exclude    []string // servers that refused or failed in this round
-	rounds     int      // times that every candidate was excluded
-	refusals   int
-	groups     int           // groups formed, for their names
-	admitted   uint32        // attempts whose body was sent
-	mayHaveRun bool          // an attempt that is over may have begun to run
-	alone      bool          // a suspect
-	expected   time.Duration // to the first token, at admission
-	ticket     workspace.Ticket
-	output     int64     // output tokens, for the ticket
-	began      time.Time // present attempt
-	first      time.Time // its first chunk; zero before
-	firstToken time.Time // of any attempt
+	excluded         []string // servers that refused or failed in the current round
+	rounds           int      // rounds that ended with no candidate left
+	refusals         int
+	groupCount       int           // groups formed so far; numbers their names
+	admittedAttempts uint32        // attempts that were admitted and sent the body
+	mayHaveRun       bool          // a finished attempt may have started to run
+	runAlone         bool          // the quarantine allows it only on an idle engine
+	expectedTTFT     time.Duration // estimate made at admission
+	ticket           workspace.Ticket
+	outputTokens     int64     // charged to the workspace with the ticket
+	attemptStart     time.Time // start of the current attempt
+	firstChunkAt     time.Time // first chunk of the current attempt; zero before it
+	firstTokenAt     time.Time // first token of the answer, over all attempts
 }
 
-func (e *Entry) newCall(spec *request.Spec, body *chatBody, pool Pool) *call {
+func (e *Entry) newCall(spec *request.Spec, body *requestBody, pool Pool) *call {
 	policy := pool.Policy
 	if policy == nil {
 		policy = e.cfg.Policy
@@ -83,99 +87,99 @@
 		body:         body,
 		pool:         pool.Name,
 		engineTokens: pool.EngineMemoryTokens,
-		life:         request.NewLifecycle(spec.Deadline, spec.Arrived),
-		asm:          request.NewAssembler(request.DefaultAssemblerLimits),
-		rnd:          random(),
+		lifecycle:    request.NewLifecycle(spec.Deadline, spec.Arrived),
+		assembler:    request.NewAssembler(request.DefaultAssemblerLimits),
+		rnd:          newRand(),
 	}
 }
 
-// live takes the request from Received to its final state.
-func (c *call) live(parent context.Context) {
+// execute runs the request from state Received to its final state.
+func (c *call) execute(parent context.Context) {
 	ctx, cancel := context.WithDeadline(parent, c.spec.Deadline)
 	defer cancel()
-	f := c.run(ctx)
+	f := c.admitAndRun(ctx)
 	if f == nil {
-		c.to(request.Finished)
-		c.e.meters.finished.Inc(1)
-		c.observe(nil, time.Now())
+		c.transition(request.Finished)
+		c.e.metrics.finished.Inc(1)
+		c.reportObservation(nil, time.Now())
 		return
 	}
-	f = c.life.CheckFailure(f)
-	c.to(request.Failed)
-	c.e.meters.failure(f)
-	c.observe(f, time.Now())
-	c.out.fail(f)
+	f = c.lifecycle.CheckFailure(f)
+	c.transition(request.Failed)
+	c.e.metrics.countFailure(f)
+	c.reportObservation(f, time.Now())
+	c.sink.fail(f)
 }
 
-// to takes one step of the life cycle. A wrong step is a fault of this package;
-// it is counted, and the request goes on.
-func (c *call) to(s request.State) {
-	if err := c.life.Transition(s, time.Now()); err != nil {
-		c.e.meters.count("entry.bad_transition")
-		c.e.log.WithError(err).WithField("request", c.spec.ID).Error("request life cycle")
+// transition moves the request to state s. An invalid transition is a bug in this
+// package; it is counted and logged, and the request continues.
+func (c *call) transition(s request.State) {
+	if err := c.lifecycle.Transition(s, time.Now()); err != nil {
+		c.e.metrics.count("entry.bad_transition")
+		c.e.log.WithError(err).WithField("request", c.spec.ID).Error("invalid request state transition")
 	}
 }
 
-func (c *call) run(ctx context.Context) *request.Failure {
+func (c *call) admitAndRun(ctx context.Context) *request.Failure {
 	if f := c.admit(time.Now()); f != nil {
 		return f
 	}
-	c.to(request.Admitted)
-	c.to(request.Queued)
+	c.transition(request.Admitted)
+	c.transition(request.Queued)
 	var f *request.Failure
-	c.ticket, f = c.e.cfg.Scheduler.Submit(ctx, c.item())
+	c.ticket, f = c.e.cfg.Scheduler.Submit(ctx, c.queueItem())
 	if f != nil {
 		return f
 	}
-	defer func() { c.ticket.Release(c.used()) }()
+	defer func() { c.ticket.Release(c.chargedTokens()) }()
 	if ctx.Err() != nil {
-		return c.ended(ctx, "queue")
+		return c.contextFailure(ctx, "queue")
 	}
 	if !c.needsClaim() {
-		return c.serve(ctx)
+		return c.runAttempts(ctx)
 	}
 	grant, done, f := c.claim(ctx)
 	if f != nil || done {
 		return f
 	}
-	f = c.serve(ctx)
+	f = c.runAttempts(ctx)
 	c.settle(grant, f)
 	return f
 }
 
-func (c *call) item() workspace.Item {
+func (c *call) queueItem() workspace.Item {
 	return workspace.Item{
 		Workspace:        c.spec.Workspace,
 		Pool:             c.pool,
 		Class:            c.spec.Class(),
 		Cost:             c.spec.PromptTokens + c.spec.MaxTokens,
 		PrefillTokens:    c.spec.PromptTokens,
-		ExpectedDuration: c.expected,
+		ExpectedDuration: c.expectedTTFT,
 		Deadline:         c.spec.Deadline,
 		Priority:         c.spec.Priority,
 	}
 }
 
-// used returns the tokens that the request is charged for.
-func (c *call) used() int64 {
-	if c.admitted == 0 {
+// chargedTokens returns the number of tokens charged for the request.
+func (c *call) chargedTokens() int64 {
+	if c.admittedAttempts == 0 {
 		return 0
 	}
-	return c.spec.PromptTokens + c.output
+	return c.spec.PromptTokens + c.outputTokens
 }
 
-// admit refuses at once what can't be served or can't be served in time.
+// admit refuses a request that can't be served, or not before its deadline.
 func (c *call) admit(now time.Time) *request.Failure {
-	if f := c.judge(now); f != nil {
+	if f := c.checkQuarantine(now); f != nil {
 		return f
 	}
 	if c.needsGroup() {
 		return c.admitGroup()
 	}
-	best, ok := c.choose(now)
+	best, ok := c.chooseServer(now)
 	left := c.spec.Deadline.Sub(now)
 	if !ok || best.ExpectedTTFT <= left {
-		c.expected = best.ExpectedTTFT
+		c.expectedTTFT = best.ExpectedTTFT
 		return nil
 	}
 	return notRun(http.StatusServiceUnavailable, reasonDeadline, "admission",
@@ -183,42 +187,43 @@
 		max(best.ExpectedTTFT-left, retrySoon))
 }
 
-// judge asks the quarantine whether and how the request may run.
-func (c *call) judge(now time.Time) *request.Failure {
+// checkQuarantine checks whether the quarantine allows the request to run, and
+// whether only alone.
+func (c *call) checkQuarantine(now time.Time) *request.Failure {
 	if c.body == nil {
-		return nil // a plain service has no prompt to blame
+		return nil // a plain service has no prompt to quarantine
 	}
 	verdict := c.e.cfg.Quarantine.Verdict(c.spec.Fingerprint, now)
-	c.alone = verdict == quarantine.RunAlone
+	c.runAlone = verdict == quarantine.RunAlone
 	if verdict != quarantine.Refuse {
 		return nil
 	}
-	return c.failure(http.StatusUnprocessableEntity, reasonQuarantined, "admission",
-		"engines died while they ran this prompt; it is refused for now", 0)
+	return c.newFailure(http.StatusUnprocessableEntity, reasonQuarantined, "admission",
+		"engines died while running this prompt; it is quarantined for now", 0)
 }
 
-// serve runs attempts until one succeeds or nothing safe is left to try.
-func (c *call) serve(ctx context.Context) *request.Failure {
-	c.e.meters.added.UpdateSince(c.spec.Arrived)
+// runAttempts runs attempts until one succeeds or no safe retry is left.
+func (c *call) runAttempts(ctx context.Context) *request.Failure {
+	c.e.metrics.dispatchDelay.UpdateSince(c.spec.Arrived)
 	var last *request.Failure
 	for {
 		if ctx.Err() != nil {
-			return c.ended(ctx, "dispatch")
+			return c.contextFailure(ctx, "dispatch")
 		}
-		if f := c.judge(time.Now()); f != nil {
+		if f := c.checkQuarantine(time.Now()); f != nil {
 			return f
 		}
 		res, ok := c.attempt(ctx)
 		if !ok {
-			if last = c.pause(ctx, last); last != nil && c.givesUp() {
+			if last = c.finishRound(ctx, last); last != nil && c.shouldGiveUp() {
 				return last
 			}
 			continue
 		}
-		if res.done() {
+		if res.succeeded() {
 			return nil
 		}
-		f, final := c.judgeEnd(ctx, res)
+		f, final := c.handleFailedAttempt(ctx, res)
 		if final {
 			return f
 		}
@@ -227,16 +232,16 @@
 }
 
 // attempt runs one attempt, on a group if the prompt needs one. It returns
-// false if there is no server to ask.
+// false if there is no candidate server.
 func (c *call) attempt(ctx context.Context) (result, bool) {
 	if c.needsGroup() {
 		return c.groupAttempt(ctx)
 	}
-	to, ok := c.choose(time.Now())
+	to, ok := c.chooseServer(time.Now())
 	if !ok {
 		return result{}, false
 	}
-	c.reach(request.Dispatched)
+	c.ensureState(request.Dispatched)
 	work := backend.DispatchLoad{
 		Prefill: max(c.spec.PromptTokens-to.CachedTokens, 0),
 		Tokens:  c.spec.PromptTokens + c.spec.MaxTokens,
@@ -244,61 +249,65 @@
 	}
 	dispatch := c.e.cfg.Servers.BeginDispatch(to.Name, work, time.Now())
 	defer c.e.cfg.Servers.EndDispatch(dispatch)
-	start := c.start()
-	start.MaxWaitMs = c.maxWait(to)
-	return c.exchange(ctx, to, start), true
+	start := c.newStart()
+	start.MaxWaitMs = c.maxQueueWaitMs(to)
+	return c.runAttempt(ctx, to, start), true
 }
 
-// maxWait returns the longest wait for prefill, in milliseconds, at which the
-// chosen server shall take the request, 0 for any. After some refusals any will
-// do: all servers may be busier than this entry knows.
-func (c *call) maxWait(to routing.Choice) uint64 {
-	if c.body == nil || to.QueueWait == 0 || c.refusals >= waitRefusals || c.spec.Class() >= request.ClassLarge {
+// maxQueueWaitMs returns the longest wait for prefill, in milliseconds, with
+// which the chosen server may admit the request; 0 means no limit. After
+// boundedWaitRefusals refusals there is no limit, since all servers may be busier
+// than their last load reports show.
+func (c *call) maxQueueWaitMs(to routing.Choice) uint64 {
+	if c.body == nil || to.QueueWait == 0 || c.refusals >= boundedWaitRefusals || c.spec.Class() >= request.ClassLarge {
 		return 0
 	}
-	return uint64((to.QueueWait + waitSlack).Milliseconds())
+	return uint64((to.QueueWait + queueWaitSlack).Milliseconds())
 }
 
-// reach steps to a state unless the request is there, or answering, already.
-func (c *call) reach(s request.State) {
-	if now := c.life.State(); now != s && now != request.Answering {
-		c.to(s)
+// ensureState moves the request to state s unless it is already in s or in
+// Answering.
+func (c *call) ensureState(s request.State) {
+	if now := c.lifecycle.State(); now != s && now != request.Answering {
+		c.transition(s)
 	}
 }
 
-// pause follows a round in which no server was left to ask. It returns the
-// failure to give if that was the last round.
-func (c *call) pause(ctx context.Context, last *request.Failure) *request.Failure {
-	nobody := len(c.exclude) == 0
+// finishRound ends a round in which no candidate server was left, and waits
+// for the backoff delay unless it was the last round. It returns the failure
+// to report if it was.
+func (c *call) finishRound(ctx context.Context, last *request.Failure) *request.Failure {
+	noneTried := len(c.excluded) == 0
 	switch {
-	case c.alone && nobody: // an engine may become idle
-		last = c.failure(http.StatusServiceUnavailable, reasonBusy, "choose", "no engine is idle, and this prompt runs only alone", retrySoon)
-	case last == nil || nobody:
-		last = c.failure(http.StatusServiceUnavailable, reasonNoBackend, "choose", errNoCandidate.Error(), retrySoon)
+	case c.runAlone && noneTried: // an engine may become idle later
+		last = c.newFailure(http.StatusServiceUnavailable, reasonBusy, "choose", "no engine is idle, and this prompt may only run alone", retrySoon)
+	case last == nil || noneTried:
+		last = c.newFailure(http.StatusServiceUnavailable, reasonNoBackend, "choose", errNoCandidate.Error(), retrySoon)
 	}
-	if nobody && !c.alone && c.rounds >= emptyRounds {
+	if noneTried && !c.runAlone && c.rounds >= maxEmptyRounds {
 		c.refusals = c.e.limits.MaxRefusals
 	}
 	c.rounds++
-	c.exclude = c.exclude[:0]
-	if !c.givesUp() {
-		sleep.For(ctx, c.backoff())
+	c.excluded = c.excluded[:0]
+	if !c.shouldGiveUp() {
+		sleep.For(ctx, c.backoffDelay())
 	}
 	return last
 }
 
-// givesUp reports whether more asking is of no use: too often refused, or so
-// much of the time limit is gone that the answer would come too late.
-func (c *call) givesUp() bool {
+// shouldGiveUp reports whether the request fails now: it was refused too
+// often, or no agent has admitted it within PlacementTimeFraction of its time
+// limit, so that its answer would come too late.
+func (c *call) shouldGiveUp() bool {
 	if c.refusals >= c.e.limits.MaxRefusals {
 		return true
 	}
 	limit := c.spec.Deadline.Sub(c.spec.Arrived)
 	share := time.Duration(float64(limit) * c.e.limits.PlacementTimeFraction)
-	return c.admitted == 0 && time.Since(c.spec.Arrived) > share
+	return c.admittedAttempts == 0 && time.Since(c.spec.Arrived) > share
 }
 
-func (c *call) backoff() time.Duration {
-	d := min(backoffFirst<<min(c.rounds, 10), backoffMost)
+func (c *call) backoffDelay() time.Duration {
+	d := min(minBackoff<<min(c.rounds, 10), maxBackoff)
 	return d/2 + time.Duration(c.rnd.Int64N(int64(d/2)+1))
 }
--- a/entry/dispatch_test.go
+++ b/entry/dispatch_test.go
@@ -15,10 +15,10 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-func TestWholeAndStreamedAnswers(t *testing.T) {
+func TestBufferedAndStreamedAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, fleet(&fakeAgent{script: answers(5)}), Limits{})
-		wantText(t, chat(b, chatBodyText), tokenText(5))
+		b := newTestEntry(t, newFakeFleet(&fakeAgent{script: respondTokens(5)}), Limits{})
+		assertText(t, chat(b, chatBodyText), tokenText(5))
 
 		w := chat(b, strings.Replace(streamBodyText, `"max_tokens"`, `"stream_options":{"include_usage":true},"max_tokens"`, 1))
 		text, done, _ := streamText(t, w.Body.String())
@@ -26,60 +26,62 @@
 			t.Fatalf("got %q", w.Body)
 		}
 		synctest.Wait()
-		b.wantNothingHeld(t)
+		b.assertNothingHeld(t)
 	})
 }
 
-// Symptom: a request fails although another engine has room.
-// Sequence: the first agent refuses, being full; its load in our table is old.
-// Cause: final admission is at the agent, so a refusal is an ordinary answer.
-func TestRefusalGoesToNextAndItsLoadIsObserved(t *testing.T) {
+// Guards against a request that fails although another engine has capacity.
+// The first agent is full and refuses, since its load in the server table is
+// outdated. The agent makes the final admission decision, so a refusal is a
+// normal response, and the load that it carries must be recorded.
+func TestRefusedRequestGoesToNextServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		full := &fakeAgent{script: func(r *fakeRun) error { return r.refuse(wirepb.RefuseCode_REFUSE_NO_MEMORY) }}
-		b := newBench(t, fleet(full, &fakeAgent{script: answers(3)}), Limits{})
-		wantText(t, chat(b, chatBodyText), tokenText(3))
+		b := newTestEntry(t, newFakeFleet(full, &fakeAgent{script: respondTokens(3)}), Limits{})
+		assertText(t, chat(b, chatBodyText), tokenText(3))
 		if b.fleet.observed["e0"].Running != 7 || len(full.bodies) != 0 {
 			t.Fatalf("observed %v, bodies %d", b.fleet.observed, len(full.bodies))
 		}
 		synctest.Wait()
-		b.wantNothingHeld(t)
+		b.assertNothingHeld(t)
 	})
 }
 
-// Symptom: a caller waits its whole limit although the fleet is full for long.
-// Sequence: every agent refuses, again and again.
-// Cause: asking must stop while the answer "not run" is still of use.
-func TestRefusedByAllIsAnsweredNotRunBeforeTheDeadline(t *testing.T) {
+// Guards against a caller that waits its whole time limit while the whole
+// fleet is full. All agents refuse repeatedly; the entry must stop and fail
+// the request as not run well before the deadline.
+func TestRefusedByAllServersFailsAsNotRunBeforeDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		busy := func(r *fakeRun) error { return r.refuse(wirepb.RefuseCode_REFUSE_BUSY) }
-		b := newBench(t, fleet(&fakeAgent{script: busy}, &fakeAgent{script: busy}), Limits{})
+		b := newTestEntry(t, newFakeFleet(&fakeAgent{script: busy}, &fakeAgent{script: busy}), Limits{})
 		begin := time.Now()
 		w := chat(b, chatBodyText, headerTimeout, "10000")
-		wantFailure(t, w, http.StatusServiceUnavailable, request.NotRun, reasonBusy)
+		assertFailure(t, w, http.StatusServiceUnavailable, request.NotRun, reasonBusy)
 		if took := time.Since(begin); took > 7*time.Second || w.Header().Get("Retry-After") == "" {
 			t.Fatalf("took %s, headers %v", took, w.Header())
 		}
 		synctest.Wait()
-		b.wantNothingHeld(t)
+		b.assertNothingHeld(t)
 	})
 }
 
-// Symptom: a caller's stream stops in the middle, or repeats a part.
-// Sequence: the connection breaks after k chunks; another engine takes over.
-// Cause: the new attempt must start behind the last chunk given, with the text.
-func TestBrokenStreamResumesWithNothingGivenTwice(t *testing.T) {
+// Guards against a stream that stops in the middle or repeats a part when the
+// connection breaks after some chunks and another engine continues. The new
+// attempt must resume after the last delivered chunk and receive the prior
+// text.
+func TestBrokenStreamResumesWithoutDuplicates(t *testing.T) {
 	for _, body := range []string{chatBodyText, streamBodyText} {
 		synctest.Test(t, func(t *testing.T) {
 			breaks := &fakeAgent{script: func(r *fakeRun) error {
 				r.admit()
-				r.tokens(0, 3)
+				r.sendTokens(0, 3)
 				return r.end(&wirepb.End{Code: wirepb.EndCode_END_STREAM_BROKEN, Began: true})
 			}}
-			takes := &fakeAgent{script: answers(6)}
-			b := newBench(t, fleet(breaks, takes), Limits{})
+			takes := &fakeAgent{script: respondTokens(6)}
+			b := newTestEntry(t, newFakeFleet(breaks, takes), Limits{})
 			w := chat(b, body)
 			if body == chatBodyText {
-				wantText(t, w, tokenText(6))
+				assertText(t, w, tokenText(6))
 			} else if text, done, _ := streamText(t, w.Body.String()); text != tokenText(6) || !done {
 				t.Fatalf("got %q", w.Body)
 			}
@@ -88,22 +90,22 @@
 				t.Fatalf("resumed from %d with %q", second.GetResumeFrom(), second.GetPriorText())
 			}
 			synctest.Wait()
-			b.wantNothingHeld(t)
+			b.assertNothingHeld(t)
 		})
 	}
 }
 
-// Symptom: an answer with words doubled or in the wrong order.
-// Sequence: an agent sends chunks doubled and out of order.
-// Cause: chunks count by number, not by arrival.
-func TestDoubledAndReorderedChunks(t *testing.T) {
+// Guards against duplicate or misordered text when an agent sends chunks more
+// than once and out of order. Chunks must be ordered by sequence number, not
+// by arrival.
+func TestDuplicateAndReorderedChunks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, fleet(&fakeAgent{script: func(r *fakeRun) error {
+		b := newTestEntry(t, newFakeFleet(&fakeAgent{script: func(r *fakeRun) error {
 			r.admit()
 			for _, i := range []uint64{1, 0, 0, 3, 2, 1, 3} {
 				r.chunk(i, tokenChunk(int(i)))
 			}
-			return r.end(okEnd(4))
+			return r.end(endOK(4))
 		}}), Limits{})
 		text, done, _ := streamText(t, chat(b, streamBodyText).Body.String())
 		if text != tokenText(4) || !done {
@@ -112,15 +114,15 @@
 	})
 }
 
-// Symptom: a cut answer is taken for a whole one.
-// Sequence: an agent ends OK with fewer chunks than it announces, every time.
-// Cause: only the announced total tells a whole answer.
-func TestIncompleteAnswerIsNotCalledWhole(t *testing.T) {
+// Guards against a truncated answer that is reported as complete. Each attempt
+// ends with OK but with fewer chunks than its End states; only that total
+// shows that the answer is incomplete.
+func TestIncompleteAnswerIsReportedAsFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, fleet(&fakeAgent{script: func(r *fakeRun) error {
+		b := newTestEntry(t, newFakeFleet(&fakeAgent{script: func(r *fakeRun) error {
 			r.admit()
-			r.tokens(int(r.start.GetResumeFrom()), 2)
-			return r.end(okEnd(4))
+			r.sendTokens(int(r.start.GetResumeFrom()), 2)
+			return r.end(endOK(4))
 		}}), Limits{})
 		text, done, failure := streamText(t, chat(b, streamBodyText).Body.String())
 		if done || failure == nil || failure.Code != request.OutcomeUnknown || failure.Reason != reasonBadAnswer {
@@ -129,58 +131,59 @@
 	})
 }
 
-// Symptom: a request hangs for ever, or an engine runs on for nobody.
-// Sequence: the agent admits and then says nothing; the time limit passes.
-// Cause: the deadline must end a request in every state and free the run.
-func TestDeadlineEndsAHungRun(t *testing.T) {
+// Guards against a request that hangs, or a run that continues without a
+// caller, when the agent admits and then sends nothing. The deadline must end
+// the request in every state and cancel the run.
+func TestDeadlineCancelsStalledRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, fleet(&fakeAgent{script: func(r *fakeRun) error {
+		b := newTestEntry(t, newFakeFleet(&fakeAgent{script: func(r *fakeRun) error {
 			r.admit()
 			<-r.Context().Done()
 			return nil
 		}}), Limits{})
 		begin := time.Now()
 		w := chat(b, chatBodyText, headerTimeout, "3000")
-		wantFailure(t, w, http.StatusGatewayTimeout, request.OutcomeUnknown, reasonDeadline)
+		assertFailure(t, w, http.StatusGatewayTimeout, request.OutcomeUnknown, reasonDeadline)
 		if took := time.Since(begin); took != 3*time.Second {
 			t.Fatalf("took %s", took)
 		}
 		synctest.Wait()
-		b.wantNothingHeld(t)
+		b.assertNothingHeld(t)
 	})
 }
 
-// Symptom: one paused agent costs callers their whole time limit.
-// Sequence: the agent takes the Start and answers neither Admit nor Refuse.
-// Cause: admission is waited for with a bound of its own; nothing was sent, so
-// another server may be asked, even for a non-idempotent request.
-func TestSilentAgentIsPassedOver(t *testing.T) {
+// Guards against a paused agent that uses up the whole time limit of a
+// request: it accepts the Start but sends neither Admit nor Refuse. Admission
+// has its own timeout; no part of the body was sent, so even a non-idempotent
+// request may go to another server.
+func TestAdmissionTimeoutMovesToNextServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		silent := &fakeAgent{script: func(r *fakeRun) error { <-r.Context().Done(); return nil }}
-		b := newBench(t, fleet(silent, &fakeAgent{script: answers(2)}), Limits{})
-		wantText(t, chat(b, chatBodyText, headerNonIdempotent, "true"), tokenText(2))
+		b := newTestEntry(t, newFakeFleet(silent, &fakeAgent{script: respondTokens(2)}), Limits{})
+		assertText(t, chat(b, chatBodyText, headerNonIdempotent, "true"), tokenText(2))
 		if len(silent.bodies) != 0 {
-			t.Fatal("body sent without admission")
+			t.Fatal("the body was sent without admission")
 		}
 		synctest.Wait()
-		b.wantNothingHeld(t)
+		b.assertNothingHeld(t)
 	})
 }
 
-// Symptom: requests on a paused VM wait for their whole limit and then fail.
-// Sequence: the agent admits, gives a chunk and falls silent with its connection
-// open; a while later the other observers call it dead.
-// Cause: an open connection says nothing; silence and a death together do. A
-// request that must not run twice waits on.
-func TestSilentAttemptOnADeadServerIsTriedElsewhere(t *testing.T) {
+// Guards against requests on a paused VM that wait for their whole time limit
+// and then fail. The agent admits, sends a chunk and then nothing more, with
+// its connection still open; later the server table reports it as dead. An
+// open connection doesn't prove that the server is alive, so the stalled
+// attempt must be cancelled. A request that must not run twice continues to
+// wait.
+func TestStalledAttemptOnDeadServerIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		paused := &fakeAgent{script: func(r *fakeRun) error {
 			r.admit()
-			r.tokens(0, 1)
+			r.sendTokens(0, 1)
 			<-r.Context().Done()
 			return nil
 		}}
-		b := newBench(t, fleet(paused, &fakeAgent{script: answers(3)}), Limits{})
+		b := newTestEntry(t, newFakeFleet(paused, &fakeAgent{script: respondTokens(3)}), Limits{})
 		texts := make(chan string, 1)
 		go func() {
 			text, _, _ := streamText(t, chat(b, streamBodyText).Body.String())
@@ -192,32 +195,31 @@
 		b.fleet.dead["e0"] = true
 		b.fleet.mu.Unlock()
 		if n := b.CancelStalledAttempts(time.Now()); n != 0 {
-			t.Fatalf("%d ended before they were silent for long", n)
+			t.Fatalf("%d attempts cancelled before they were stalled", n)
 		}
-		time.Sleep(stallTime)
+		time.Sleep(stallTimeout)
 		if n := b.CancelStalledAttempts(time.Now()); n != 1 {
-			t.Fatalf("%d ended", n)
+			t.Fatalf("%d attempts cancelled, want 1", n)
 		}
 		if text := <-texts; text != tokenText(3) {
 			t.Fatalf("got %q", text)
 		}
 		time.Sleep(20 * time.Second)
 		synctest.Wait()
-		b.wantNothingHeld(t)
+		b.assertNothingHeld(t)
 		if len(b.watch.attempts) != 0 {
 			t.Errorf("%d attempts still watched", len(b.watch.attempts))
 		}
 	})
 }
 
-// Symptom: an engine works on for a caller that hung up.
-// Sequence: the caller disconnects while its answer is being generated.
-// Cause: the run's context is the caller's.
-func TestDisconnectFreesTheRun(t *testing.T) {
+// Guards against an engine that continues to generate after its caller
+// disconnected. The context of the run must derive from the caller's.
+func TestCallerDisconnectCancelsRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, fleet(&fakeAgent{script: func(r *fakeRun) error {
+		b := newTestEntry(t, newFakeFleet(&fakeAgent{script: func(r *fakeRun) error {
 			r.admit()
-			r.tokens(0, 1)
+			r.sendTokens(0, 1)
 			<-r.Context().Done()
 			return nil
 		}}), Limits{})
@@ -225,94 +227,92 @@
 		time.AfterFunc(time.Second, cancel)
 		post(ctx, b, "/v1/chat/completions", streamBodyText)
 		synctest.Wait()
-		b.wantNothingHeld(t)
+		b.assertNothingHeld(t)
 		if b.fleet.agents["e0"].runs() != 1 {
-			t.Fatal("tried again for a caller that went away")
+			t.Fatal("the request was retried after its caller disconnected")
 		}
 	})
 }
 
-// Symptom: a confirmation runs twice.
-// Sequence: the engine dies after the body was sent; the same key comes again.
-// Cause: nobody knows whether it ran, so it must not run again.
-func TestNonIdempotentIsNeverRunAgain(t *testing.T) {
+// Guards against a confirmation that runs twice: the engine dies after the
+// body was sent, then a request with the same key arrives. It is unknown
+// whether the first one ran, so it must not run again.
+func TestNonIdempotentRequestIsNotRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dies := &fakeAgent{script: func(r *fakeRun) error {
 			r.admit()
 			return r.end(&wirepb.End{Code: wirepb.EndCode_END_STREAM_BROKEN, Began: true})
 		}}
-		other := &fakeAgent{script: answers(1)}
-		b := newBench(t, fleet(dies, other), Limits{})
+		other := &fakeAgent{script: respondTokens(1)}
+		b := newTestEntry(t, newFakeFleet(dies, other), Limits{})
 		head := []string{headerNonIdempotent, "true", headerKey, "k1"}
-		wantFailure(t, chat(b, chatBodyText, head...), http.StatusBadGateway, request.OutcomeUnknown, reasonStreamBroken)
-		settled()
-		wantFailure(t, chat(b, chatBodyText, head...), http.StatusConflict, request.OutcomeUnknown, reasonEarlierUnknown)
+		assertFailure(t, chat(b, chatBodyText, head...), http.StatusBadGateway, request.OutcomeUnknown, reasonStreamBroken)
+		waitForSettlement()
+		assertFailure(t, chat(b, chatBodyText, head...), http.StatusConflict, request.OutcomeUnknown, reasonEarlierUnknown)
 		if other.runs() != 0 || dies.runs() != 1 {
 			t.Fatalf("ran %d and %d times", dies.runs(), other.runs())
 		}
-		settled()
-		b.wantNothingHeld(t)
+		waitForSettlement()
+		b.assertNothingHeld(t)
 	})
 }
 
-// Symptom: a caller that holds a part of an answer is told that nothing ran, and
-// a booking is made once more.
-// Sequence: an agent gives a chunk and then ends with "not begun".
-// Cause: a chunk proves that it ran, whatever the end says.
-func TestChunkProvesThatItRan(t *testing.T) {
+// Guards against a booking that runs twice because its caller received part of
+// an answer and then a not_run failure. The agent sends a chunk and then an
+// End without Began; the chunk proves that the request ran, regardless of the
+// End.
+func TestChunkMeansRequestMayHaveRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		odd := &fakeAgent{script: func(r *fakeRun) error {
 			r.admit()
-			r.tokens(0, 1)
+			r.sendTokens(0, 1)
 			return r.end(&wirepb.End{Code: wirepb.EndCode_END_CANCELLED})
 		}}
-		other := &fakeAgent{script: answers(1)}
-		b := newBench(t, fleet(odd, other), Limits{})
+		other := &fakeAgent{script: respondTokens(1)}
+		b := newTestEntry(t, newFakeFleet(odd, other), Limits{})
 		w := chat(b, chatBodyText, headerNonIdempotent, "true")
-		wantFailure(t, w, http.StatusBadGateway, request.OutcomeUnknown, reasonStreamBroken)
+		assertFailure(t, w, http.StatusBadGateway, request.OutcomeUnknown, reasonStreamBroken)
 		if other.runs() != 0 {
-			t.Fatal("ran again")
+			t.Fatal("the request ran again")
 		}
 	})
 }
 
-// Symptom: a resend after a lost answer books twice, or is refused for good
-// after a true "not run".
-// Sequence: refused by all, then granted, then the same key once more.
-// Cause: a claim is freed by "not run" and closed by an answer.
-func TestKeyIsFreedByNotRunAndClosedByAnAnswer(t *testing.T) {
+// Guards against a resend that books twice after a lost answer, or that is
+// refused permanently after a not_run failure. The request is refused, then
+// succeeds, then is resent with the same key. A not_run outcome must release
+// the claim, an answer must settle it.
+func TestClaimIsReleasedByNotRunAndSettledByAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		agent := &fakeAgent{script: func(r *fakeRun) error { return r.refuse(wirepb.RefuseCode_REFUSE_BAD_REQUEST) }}
-		b := newBench(t, fleet(agent), Limits{})
+		b := newTestEntry(t, newFakeFleet(agent), Limits{})
 		head := []string{headerNonIdempotent, "true", headerKey, "k1"}
-		wantFailure(t, chat(b, chatBodyText, head...), http.StatusBadRequest, request.NotRun, reasonBadRequest)
-		agent.script = answers(3)
+		assertFailure(t, chat(b, chatBodyText, head...), http.StatusBadRequest, request.NotRun, reasonBadRequest)
+		agent.script = respondTokens(3)
 		for range 2 {
-			wantText(t, chat(b, chatBodyText, head...), tokenText(3))
-			settled()
+			assertText(t, chat(b, chatBodyText, head...), tokenText(3))
+			waitForSettlement()
 		}
 		if text, done, _ := streamText(t, chat(b, streamBodyText, head...).Body.String()); text != tokenText(3) || !done {
 			t.Fatalf("replayed stream %q", text)
 		}
 		other := strings.Replace(chatBodyText, "hello", "other", 1)
-		wantFailure(t, chat(b, other, head...), http.StatusUnprocessableEntity, request.NotRun, reasonKeyReused)
+		assertFailure(t, chat(b, other, head...), http.StatusUnprocessableEntity, request.NotRun, reasonKeyReused)
 		if len(agent.bodies) != 1 {
 			t.Fatalf("ran %d times", len(agent.bodies))
 		}
-		settled()
+		waitForSettlement()
 	})
 }
 
-// Symptom: confirmations are lost while the platform's store is down, or one is
-// called "not run" that ran before.
-// Sequence: the store goes down; a caller's own key comes, then one that the
-// entry had issued.
-// Cause: without the store nobody can tell what ran under a caller's key; an
-// issued key needs no store.
-func TestStoreOutage(t *testing.T) {
+// Guards against confirmations that fail while the store is down, or that are
+// reported as not run although an earlier one ran. Requests arrive with a
+// caller's own key and with a key that the entry issued. Without the store it
+// is unknown what ran under the caller's key; an issued key needs no store.
+func TestClaimsDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		agent := &fakeAgent{script: answers(1)}
-		b := newBench(t, fleet(agent), Limits{})
+		agent := &fakeAgent{script: respondTokens(1)}
+		b := newTestEntry(t, newFakeFleet(agent), Limits{})
 		w := post(context.Background(), b, "/v1/idempotency-keys", "")
 		var issued struct{ Key string }
 		if err := json.Unmarshal(w.Body.Bytes(), &issued); err != nil || issued.Key == "" {
@@ -324,50 +324,51 @@
 			t.Fatalf("got %d %s, %d runs", own.Code, own.Body, agent.runs())
 		}
 		first := chat(b, chatBodyText, headerNonIdempotent, "true", headerKey, "k2", headerFirstSend, "true")
-		wantFailure(t, first, http.StatusServiceUnavailable, request.NotRun, reasonClaimUnavailable)
+		assertFailure(t, first, http.StatusServiceUnavailable, request.NotRun, reasonClaimUnavailable)
 		other := chat(b, chatBodyText, headerNonIdempotent, "true", headerKey, issued.Key, headerWorkspace, "large")
-		wantFailure(t, other, http.StatusBadRequest, request.NotRun, reasonBadKey)
+		assertFailure(t, other, http.StatusBadRequest, request.NotRun, reasonBadKey)
 		for range 2 {
-			wantText(t, chat(b, chatBodyText, headerNonIdempotent, "true", headerKey, issued.Key), tokenText(1))
+			assertText(t, chat(b, chatBodyText, headerNonIdempotent, "true", headerKey, issued.Key), tokenText(1))
 			time.Sleep(time.Second)
 		}
 		if agent.runs() != 1 {
 			t.Fatalf("ran %d times", agent.runs())
 		}
 		b.store.SetFaults(standin.Faults{})
-		settled()
-		b.wantNothingHeld(t)
+		waitForSettlement()
+		b.assertNothingHeld(t)
 	})
 }
 
-// settled waits until claims are written.
-func settled() {
+// waitForSettlement waits until the outcomes of claims are recorded.
+func waitForSettlement() {
 	time.Sleep(20 * time.Second)
 	synctest.Wait()
 }
 
-// Symptom: a caller takes a notice that its call had finished for an answer.
-// Sequence: a keyed call's answer is too large to record; the key comes again.
-// Cause: what isn't recorded can't be replayed; it is an error, and runs no more.
-func TestLargeAnswerIsNotReplayed(t *testing.T) {
+// Guards against a caller that mistakes the notice that its request has
+// completed for an answer. The answer of a request with a key is too large to
+// record, and the key is sent again: this must fail, and the request must not
+// run again.
+func TestUnrecordedAnswerIsNotReplayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		agent := &fakeAgent{script: answers(2000)}
-		b := newBench(t, fleet(agent), Limits{})
+		agent := &fakeAgent{script: respondTokens(2000)}
+		b := newTestEntry(t, newFakeFleet(agent), Limits{})
 		head := []string{headerNonIdempotent, "true", headerKey, "k1"}
-		wantText(t, chat(b, chatBodyText, head...), tokenText(2000))
-		settled()
-		wantFailure(t, chat(b, chatBodyText, head...), http.StatusConflict, request.OutcomeUnknown, reasonFinished)
-		settled()
+		assertText(t, chat(b, chatBodyText, head...), tokenText(2000))
+		waitForSettlement()
+		assertFailure(t, chat(b, chatBodyText, head...), http.StatusConflict, request.OutcomeUnknown, reasonFinished)
+		waitForSettlement()
 		if agent.runs() != 1 {
 			t.Fatalf("ran %d times", agent.runs())
 		}
 	})
 }
 
-// Symptom: one prompt takes down engine after engine.
-// Sequence: it kills the engine that runs it; the caller sends it again.
-// Cause: a suspect runs only alone, and two deaths refuse it.
-func TestPromptThatKillsIsQuarantinedAfterTwoDeaths(t *testing.T) {
+// Guards against a prompt that kills one engine after another when the caller
+// keeps sending it. After the first death the prompt may only run alone, after
+// the second it is refused.
+func TestPromptIsQuarantinedAfterTwoEngineDeaths(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		died := func(death uint64) func(*fakeRun) error {
 			return func(r *fakeRun) error {
@@ -375,8 +376,8 @@
 				return r.end(&wirepb.End{Code: wirepb.EndCode_END_ENGINE_DIED, Began: true, Detail: "boot 1", Death: death})
 			}
 		}
-		f := fleet(&fakeAgent{script: died(1)}, &fakeAgent{script: died(2)}, &fakeAgent{script: died(3)})
-		b := newBench(t, f, Limits{})
+		f := newFakeFleet(&fakeAgent{script: died(1)}, &fakeAgent{script: died(2)}, &fakeAgent{script: died(3)})
+		b := newTestEntry(t, f, Limits{})
 		for range 5 {
 			w := chat(b, chatBodyText)
 			if w.Code != http.StatusUnprocessableEntity {
@@ -384,79 +385,80 @@
 			}
 		}
 		if n := f.agents["e0"].runs() + f.agents["e1"].runs() + f.agents["e2"].runs(); n != 2 {
-			t.Fatalf("%d engines lost", n)
+			t.Fatalf("the prompt ran on %d engines, want 2", n)
 		}
 		if f.agents["e0"].starts[0].GetAlone() || !f.agents["e1"].starts[0].GetAlone() {
-			t.Fatal("the suspect did not run alone")
+			t.Fatal("want the first run not alone and the second one alone")
 		}
 		w := chat(b, chatBodyText)
-		wantFailure(t, w, http.StatusUnprocessableEntity, request.NotRun, reasonQuarantined)
-		wantText(t, chat(newBench(t, fleet(&fakeAgent{script: answers(1)}), Limits{}), chatBodyText), tokenText(1))
+		assertFailure(t, w, http.StatusUnprocessableEntity, request.NotRun, reasonQuarantined)
+		assertText(t, chat(newTestEntry(t, newFakeFleet(&fakeAgent{script: respondTokens(1)}), Limits{}), chatBodyText), tokenText(1))
 	})
 }
 
-// Symptom: an innocent prompt is refused as one that kills.
-// Sequence: an engine dies under it; the entry hears of that death from the
-// attempt's end and again from the agent's own report.
-// Cause: the two named the death differently, and one death counted as two.
-func TestOneDeathHeardTwiceConvictsNobody(t *testing.T) {
+// Guards against a harmless prompt that is quarantined after one engine death.
+// The entry receives the death with the End of the attempt and again with the
+// agent's own report. When the two used different ids for it, one death
+// counted as two.
+func TestRepeatedDeathReportCountsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		died := func(r *fakeRun) error {
 			r.admit()
 			return r.end(&wirepb.End{Code: wirepb.EndCode_END_ENGINE_DIED, Began: true, Death: 7})
 		}
-		b := newBench(t, fleet(&fakeAgent{script: died}), Limits{})
+		b := newTestEntry(t, newFakeFleet(&fakeAgent{script: died}), Limits{})
 		chat(b, chatBodyText)
 		body, _ := parseBody(request.KindChat, []byte(chatBodyText))
-		if _, news := b.book.RecordDeath(body.fingerprint(), 7, time.Now()); news {
-			t.Error("the agent's report of the same death was news")
+		if _, news := b.quarantine.RecordDeath(body.fingerprint(), 7, time.Now()); news {
+			t.Error("the agent's report of the same death was counted as new")
 		}
-		if v := b.book.Verdict(body.fingerprint(), time.Now()); v != quarantine.RunAlone {
+		if v := b.quarantine.Verdict(body.fingerprint(), time.Now()); v != quarantine.RunAlone {
 			t.Fatalf("verdict %v after one death", v)
 		}
 	})
 }
 
-func TestSurvivorIsCleared(t *testing.T) {
+func TestCompletionClearsSuspect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, fleet(&fakeAgent{script: answers(1)}), Limits{})
+		b := newTestEntry(t, newFakeFleet(&fakeAgent{script: respondTokens(1)}), Limits{})
 		body, _ := parseBody(request.KindChat, []byte(chatBodyText))
-		b.book.RecordDeath(body.fingerprint(), 1, time.Now())
+		b.quarantine.RecordDeath(body.fingerprint(), 1, time.Now())
 		chat(b, chatBodyText)
-		if v := b.book.Verdict(body.fingerprint(), time.Now()); v != quarantine.Allow {
+		if v := b.quarantine.Verdict(body.fingerprint(), time.Now()); v != quarantine.Allow {
 			t.Fatalf("verdict %v", v)
 		}
 	})
 }
 
-// Symptom: a caller waits for an answer that can't come in time.
-// Sequence: the best engine expects the first token after the time limit.
-// Cause: a refusal at once lets the caller act; one at the deadline doesn't.
-func TestEarlyRefusal(t *testing.T) {
+// Guards against a caller that waits for an answer that can't arrive in time:
+// on the best engine the first token is expected after the time limit. An
+// immediate refusal lets the caller react, one at the deadline doesn't.
+func TestUnmeetableDeadlineIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := fleet(&fakeAgent{script: answers(1)})
-		f.expected = time.Minute
-		b := newBench(t, f, Limits{})
+		f := newFakeFleet(&fakeAgent{script: respondTokens(1)})
+		f.expectedTTFT = time.Minute
+		b := newTestEntry(t, f, Limits{})
 		begin := time.Now()
 		w := chat(b, chatBodyText, headerTimeout, "1000")
-		wantFailure(t, w, http.StatusServiceUnavailable, request.NotRun, reasonDeadline)
+		assertFailure(t, w, http.StatusServiceUnavailable, request.NotRun, reasonDeadline)
 		if time.Since(begin) != 0 {
-			t.Fatalf("answered after %s", time.Since(begin))
+			t.Fatalf("refused after %s, want immediately", time.Since(begin))
 		}
 	})
 }
 
-// Symptom: a rolling restart cuts off answers or loses requests.
-// Sequence: drain while a stream is in progress and a new request comes.
-// Cause: readiness goes first, work in progress ends by itself.
-func TestDrain(t *testing.T) {
+// Guards against a rolling restart that truncates answers or loses requests. A
+// drain starts while a stream is in progress and a new request arrives:
+// readiness is turned off first, the new request is refused and the stream
+// completes.
+func TestDrainFinishesRequestsInProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, fleet(&fakeAgent{script: func(r *fakeRun) error {
+		b := newTestEntry(t, newFakeFleet(&fakeAgent{script: func(r *fakeRun) error {
 			r.admit()
-			r.tokens(0, 2)
+			r.sendTokens(0, 2)
 			time.Sleep(5 * time.Second)
-			r.tokens(2, 4)
-			return r.end(okEnd(4))
+			r.sendTokens(2, 4)
+			return r.end(endOK(4))
 		}}), Limits{})
 		var text string
 		var done bool
@@ -468,13 +470,13 @@
 		if b.Ready() {
 			t.Fatal("ready while draining")
 		}
-		wantFailure(t, chat(b, chatBodyText), http.StatusServiceUnavailable, request.NotRun, reasonDraining)
+		assertFailure(t, chat(b, chatBodyText), http.StatusServiceUnavailable, request.NotRun, reasonDraining)
 		if err := <-drained; err != nil {
 			t.Fatal(err)
 		}
 		synctest.Wait()
 		if text != tokenText(4) || !done {
-			t.Fatalf("cut off: %q", text)
+			t.Fatalf("truncated answer: %q", text)
 		}
 	})
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -26,31 +26,33 @@
 
 // ServerTable is the table of backend servers. *backend.Table implements it.
 type ServerTable interface {
-	// Rows appends all rows of a pool to out, Sample some n of them and those
-	// with the keys in also.
+	// Rows appends all rows of a pool to out. Sample appends a random sample
+	// of about n of them and the rows whose keys are in also.
 	Rows(pool string, out []backend.Row) []backend.Row
 	Sample(pool string, n int, also []uint64, rnd *rand.Rand, out []backend.Row) []backend.Row
-	// BeginDispatch and EndDispatch count what this entry has dispatched.
+	// BeginDispatch and EndDispatch count the work that this entry has dispatched.
 	BeginDispatch(name string, w backend.DispatchLoad, now time.Time) backend.Dispatch
 	EndDispatch(d backend.Dispatch)
-	// ObserveResponse takes in a load sample that an agent sent with an answer.
+	// ObserveResponse records a load sample that an agent sent with an answer.
 	ObserveResponse(name string, load backend.Load, now time.Time)
 	Lookup(name string) (backend.Row, bool)
-	// MarkSuspect notes that a server could not be reached.
+	// MarkSuspect marks a server that could not be reached.
 	MarkSuspect(name string)
 }
 
-// Scheduler queues admitted requests and bounds what runs at once.
+// Scheduler queues admitted requests and limits how many run concurrently.
 // *workspace.Scheduler implements it.
 type Scheduler interface {
-	// Submit waits for the item's turn. A failure is always "not run".
+	// Submit waits until the item is scheduled. A failure always means that the
+	// request has not run.
 	Submit(ctx context.Context, item workspace.Item) (workspace.Ticket, *request.Failure)
-	// AllowRetry takes one retry from the workspace's budget.
+	// AllowRetry withdraws one retry from the workspace's retry budget and
+	// reports whether the budget allowed it.
 	AllowRetry(workspace string) bool
 }
 
-// AgentClient reaches agents by their drpc address. A run has a connection of its
-// own; cancelling its context frees the run at the agent.
+// AgentClient calls agents by their drpc address. Each run has its own
+// connection; cancelling the context of a run ends the run at the agent.
 type AgentClient interface {
 	Run(ctx context.Context, address string) (wirepb.DRPCAgent_RunClient, error)
 	Hold(ctx context.Context, address string, in *wirepb.HoldRequest) (*wirepb.HoldResponse, error)
@@ -58,32 +60,34 @@
 	ReleaseHolds(ctx context.Context, address string, in *wirepb.HoldRefs) (*wirepb.HoldStates, error)
 }
 
-// Claimer gives at-most-once execution to non-idempotent requests.
+// Claimer provides at-most-once execution of non-idempotent requests.
 // *claim.Claimer implements it.
 type Claimer interface {
 	Claim(ctx context.Context, key claim.Key, attempt claim.Request) (claim.Grant, error)
 	Settle(ctx context.Context, grant claim.Grant, outcome claim.Outcome) error
-	// Issue returns a key of the workspace whose claims need no store.
+	// Issue returns a new idempotency key of the workspace. Claims of an issued
+	// key need no store.
 	Issue(workspace string) string
 }
 
-// Pool is what the entry needs to know of a ModelPool.
+// Pool holds the settings of a ModelPool that the entry uses.
 type Pool struct {
 	Name             string
 	Models           []string
-	Adapters         map[string]string // to the model of each
-	MaxContextTokens int64             // longest prompt and output together; 0: no bound
-	MaxTokens        int64             // greatest max_tokens; 0: the entry's limit
-	// EngineMemoryTokens is the smallest KV memory of the pool's engines, 0 if
-	// unknown; rows that say more prevail.
+	Adapters         map[string]string // adapter name -> name of its base model
+	MaxContextTokens int64             // maximum of prompt and output tokens together; 0: no limit
+	MaxTokens        int64             // maximum max_tokens of a request; 0: the entry's limit
+	// EngineMemoryTokens is the smallest KV memory of the pool's engines, in
+	// tokens, 0 if unknown. It applies only while no row of the pool reports
+	// its capacity.
 	EngineMemoryTokens int64
-	// ShortShare: see routing.Query.
+	// ShortShare is passed on in routing.Query.
 	ShortShare float64
-	Policy     routing.Policy // nil: the entry's
+	Policy     routing.Policy // nil: the entry's policy
 }
 
-// resolve returns the model and adapter that a caller's model name means in the
-// pool. The pool's own name means its first model.
+// resolve maps a model name from a request to a model and an adapter of the
+// pool. The name of the pool itself stands for its first model.
 func (p *Pool) resolve(name string) (model, adapter string) {
 	if base, ok := p.Adapters[name]; ok {
 		return base, name
@@ -94,45 +98,47 @@
 	return name, ""
 }
 
-// Workspace is what the entry needs to know of a WorkspacePolicy.
+// Workspace holds the settings of a WorkspacePolicy that the entry uses.
 type Workspace struct {
-	DefaultTimeout time.Duration // 0: the entry's limit
-	MaxTimeout     time.Duration // 0: the entry's limit, which bounds both
+	DefaultTimeout time.Duration // 0: the entry's default
+	MaxTimeout     time.Duration // 0: the entry's limit; the entry's limit is the upper bound of both
 	Classes        []ServiceClass
 }
 
-// ServiceClass is what a request that names it gets.
+// ServiceClass holds the priority and time limit of requests that name the class.
 type ServiceClass struct {
 	Name     string
 	Priority int32         // see workspace.Item
 	Timeout  time.Duration // 0: the workspace's default
 }
 
-// Catalog answers from the declared objects in force.
+// Catalog looks up the declared objects that are in force.
 type Catalog interface {
-	// Pool finds a pool by its name, or a model or adapter that it serves.
+	// Pool finds a pool by its name or by the name of a model or adapter that it
+	// serves.
 	Pool(model string) (Pool, bool)
 	Pools() []Pool
-	// Workspace finds a workspace whose requests are taken.
+	// Workspace finds a workspace whose requests are accepted.
 	Workspace(name string) (Workspace, bool)
-	// Service reports whether there is a plain service of that name.
+	// Service reports whether a plain service of that name exists.
 	Service(name string) bool
 }
 
-// Quarantine is what all entries know of fingerprints that were running when
-// engines died. *quarantine.Tracker implements it.
+// Quarantine tracks the fingerprints of prompts that were running when engines
+// died, over all entries. *quarantine.Tracker implements it.
 type Quarantine interface {
 	Verdict(fingerprint uint64, now time.Time) quarantine.Verdict
-	// RecordDeath reports that the fingerprint ran when an engine died; death names
-	// that death, which counts once however often it is reported.
+	// RecordDeath records that the fingerprint was running when an engine died.
+	// death identifies that death; repeated reports of it count once.
 	RecordDeath(fingerprint, death uint64, now time.Time) (quarantine.Record, bool)
-	// RecordCompletion reports that the fingerprint ran alone to its end.
+	// RecordCompletion records that the fingerprint ran alone and completed.
 	RecordCompletion(fingerprint uint64, now time.Time)
 }
 
-// Config holds what an Entry is built from. A nil Claimer refuses keyed
-// non-idempotent requests, a nil Quarantine is a Tracker of this entry alone, nil
-// Costs and Prefixes learn nothing; the rest must be set, but for Limits.
+// Config configures an Entry. With a nil Claimer, non-idempotent requests with a
+// key are refused; a nil Quarantine is replaced by a Tracker that only this entry
+// uses; with nil Costs or Prefixes nothing is recorded for them. The other fields
+// must be set, except OnObservation and Limits.
 type Config struct {
 	Name        string
 	Zone        string
@@ -146,48 +152,51 @@
 	Claimer     Claimer
 	Catalog     Catalog
 	Quarantine  Quarantine
-	Costs       *routing.CostModel   // the policy's, to record what engines report
-	Prefixes    *routing.PrefixIndex // the policy's, to note what engines will cache
+	Costs       *routing.CostModel   // shared with the policy; records the costs that engines report
+	Prefixes    *routing.PrefixIndex // shared with the policy; records the prefixes that engines will cache
 
-	// OnObservation is told what became of each prompt; nil for none.
+	// OnObservation is called with the outcome of each prompt; nil for no calls.
 	OnObservation func(slo.Observation)
 	Metrics       metrics.Registry
 	Log           logrus.FieldLogger
 	Limits        Limits
 }
 
-// Limits bound what one request may take. Zero fields take their default.
+// Limits bound the resources of a request and of the entry. A zero field takes
+// the default that its comment states.
 type Limits struct {
-	// MaxInProgress is how many requests are at the entry at a time, 8,000: beyond
-	// it their bodies alone could fill its memory.
+	// MaxInProgress is the maximum number of requests in the entry at a time,
+	// 8,000. More could fill its memory with their bodies alone.
 	MaxInProgress        int64
 	MaxBodyBytes         int64         // 8 MiB
 	MaxHeaderBytes       int           // 64 KiB
-	HeaderTimeout        time.Duration // header of a request, 5 s
-	ReadTimeout          time.Duration // whole request, 30 s
-	WriteTimeout         time.Duration // one write to a slow caller, 30 s
-	IdleTimeout          time.Duration // idle caller connection, 2 min
-	DefaultTimeout       time.Duration // requests without X-Request-Timeout-Ms, 2 min
-	MaxTimeout           time.Duration // greatest X-Request-Timeout-Ms, 30 min
-	DefaultMaxTokens     int64         // 256
-	MaxTokens            int64         // greatest max_tokens, 32768
-	MaxPromptTokens      int64         // longest prompt, 1.2 M
-	AdmissionTimeout     time.Duration // for an agent's Admit or Refuse, 2 s
-	LongAdmissionTimeout time.Duration // the same for long prompts and suspects, which an agent may let wait, 5 s
-	MaxRefusals          int           // refusals before giving up, 64
-	MaxAttempts          uint32        // attempts that were admitted, 4
-	HoldTTL              time.Duration // of a group's holds, 10 s
-	// PlacementTimeFraction is the part of the time limit within which an agent must have
-	// admitted the request, or a group's holds succeeded: 0.5.
+	HeaderTimeout        time.Duration // to read the header of a request, 5 s
+	ReadTimeout          time.Duration // to read the body of a request, 30 s
+	WriteTimeout         time.Duration // for one write to the caller, 30 s
+	IdleTimeout          time.Duration // of an idle caller connection, 2 min
+	DefaultTimeout       time.Duration // of requests without X-Request-Timeout-Ms, 2 min
+	MaxTimeout           time.Duration // maximum X-Request-Timeout-Ms, 30 min
+	DefaultMaxTokens     int64         // max_tokens of requests that set none, 256
+	MaxTokens            int64         // maximum max_tokens, 32768
+	MaxPromptTokens      int64         // maximum length of a prompt, 1.2 M
+	AdmissionTimeout     time.Duration // to receive an agent's Admit or Refuse, 2 s
+	LongAdmissionTimeout time.Duration // the same for long and run-alone prompts, which an agent may queue, 5 s
+	MaxRefusals          int           // refusals after which a request fails, 64
+	MaxAttempts          uint32        // attempts of a request that agents admitted, 4
+	HoldTTL              time.Duration // lifetime of a group's memory holds unless extended, 10 s
+	// PlacementTimeFraction is the fraction of the time limit within which an
+	// agent must have admitted the request, or all holds of a group must have
+	// been granted, 0.5.
 	PlacementTimeFraction float64
-	// GroupMemoryFraction is the part of an engine's memory that a group segment may
-	// take, 0.8: the rest leaves room for short work.
+	// GroupMemoryFraction is the fraction of an engine's memory that a group
+	// segment may use, 0.8. The rest remains free for short requests.
 	GroupMemoryFraction float64
-	// TokensPerGroupMember is how many tokens of a long prompt one member of a group
-	// takes, 128k, if more engines are there than its memory needs. Negative:
-	// groups take as few members as fit.
+	// TokensPerGroupMember is how many tokens of a long prompt each member of a
+	// group processes, 128k, if the pool has more engines than the prompt needs
+	// for its memory. Negative: a group has the fewest members that the prompt
+	// fits on.
 	TokensPerGroupMember int64
-	// MaxGroupMembers is the greatest size of a group, 16.
+	// MaxGroupMembers is the maximum size of a group, 16.
 	MaxGroupMembers int
 }
 
@@ -216,24 +225,25 @@
 	return l
 }
 
-// Entry is the role. It is safe for concurrent use.
+// Entry serves the HTTP API for callers and runs their requests on backend
+// servers. It is safe for concurrent use.
 type Entry struct {
-	cfg    Config
-	limits Limits
-	log    logrus.FieldLogger
-	meters meters
-	mux    *http.ServeMux
+	cfg     Config
+	limits  Limits
+	log     logrus.FieldLogger
+	metrics entryMetrics
+	mux     *http.ServeMux
 
 	watch watchList
 
-	running  atomic.Int64 // requests inside, queued ones included
-	inFlight sync.WaitGroup
+	inProgress atomic.Int64 // requests in progress, including queued ones
+	inFlight   sync.WaitGroup
 
-	mu       sync.Mutex // guards draining, and inFlight.Add against Drain
+	mu       sync.Mutex // guards draining, and keeps inFlight.Add from racing with Drain
 	draining bool
 }
 
-// New returns an Entry that is ready to serve.
+// New validates cfg and returns an Entry that is ready to serve.
 func New(cfg Config) (*Entry, error) {
 	switch {
 	case cfg.Name == "":
@@ -247,22 +257,23 @@
 	if e.cfg.Quarantine == nil {
 		e.cfg.Quarantine = quarantine.NewTracker(quarantine.DefaultOptions)
 	}
-	e.meters = newMeters(cfg.Metrics)
+	e.metrics = newEntryMetrics(cfg.Metrics)
 	e.mux = e.routes()
 	return e, nil
 }
 
-// Status is a snapshot for operators.
+// Status is a snapshot of an entry's state for operators.
 type Status struct {
 	Name     string `json:"name"`
-	Running  int64  `json:"running"` // requests inside, queued ones included
+	Running  int64  `json:"running"` // requests in progress, including queued ones
 	Draining bool   `json:"draining"`
 }
 
-// Status returns a snapshot.
+// Status returns a snapshot of the entry's state.
 func (e *Entry) Status() Status {
-	return Status{Name: e.cfg.Name, Running: e.running.Load(), Draining: !e.Ready()}
+	return Status{Name: e.cfg.Name, Running: e.inProgress.Load(), Draining: !e.Ready()}
 }
 
-// random is for choices and jitter; it need not be secret.
-func random() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
+// newRand returns a random source for server choice and jitter. It needs no
+// cryptographic strength.
+func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
--- a/entry/errors.go
+++ b/entry/errors.go
@@ -12,7 +12,8 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// Reasons are the stable words of a failure. docs/API.md explains each.
+// Reasons are the stable machine-readable causes of a failure. docs/API.md
+// explains each.
 const (
 	reasonBadRequest       = "bad_request"
 	reasonBadJSON          = "bad_json"
@@ -45,12 +46,13 @@
 )
 
 const (
-	// retrySoon is the Retry-After of a state that passes within seconds.
+	// retrySoon is the Retry-After of a condition that ends within seconds.
 	retrySoon = 2 * time.Second
-	// retryElsewhere is the Retry-After where the balancer has other entries.
+	// retryElsewhere is the Retry-After of a refusal by this entry alone,
+	// since the load balancer has other entries.
 	retryElsewhere = time.Second
-	// statusClientClosed is the customary status of a vanished caller; only
-	// logs and metrics see it.
+	// statusClientClosed is the conventional status of a request whose caller
+	// disconnected; it appears only in logs and metrics.
 	statusClientClosed = 499
 )
 
@@ -59,13 +61,13 @@
 		Status: http.StatusBadRequest, Step: "read"}
 }
 
-// notRun is a refusal before the request ran.
+// notRun returns the failure of a request that was refused before it ran.
 func notRun(status int, reason, step, message string, retry time.Duration) *request.Failure {
 	return &request.Failure{Code: request.NotRun, Reason: reason, Message: message,
 		Status: status, RetryAfter: retry, Step: step}
 }
 
-// errorBody is the OpenAI shape of an error, with reason beside code.
+// errorBody is an error in the OpenAI format, with the additional field reason.
 type errorBody struct {
 	Error errorFields `json:"error"`
 }
@@ -87,7 +89,7 @@
 		fields.Message = f.Reason
 	}
 	data, err := json.Marshal(errorBody{fields})
-	if err != nil { // only strings: cannot fail
+	if err != nil { // can't fail: the fields are strings
 		return []byte(fmt.Sprintf(`{"error":{"code":%q}}`, f.Code))
 	}
 	return data
@@ -103,7 +105,8 @@
 	return "invalid_request_error"
 }
 
-// writeFailure answers with a failure, before any byte of an answer was given.
+// writeFailure writes a failure as the whole response. No part of a response may
+// have been written.
 func writeFailure(w http.ResponseWriter, f *request.Failure, id string) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -118,9 +121,9 @@
 	_, _ = w.Write(append(errorJSON(f, id), '\n'))
 }
 
-// refusal maps an agent's refusal to what the caller sees if no other backend
-// server takes the request.
-func refusal(r *wirepb.Refuse, peer string) *request.Failure {
+// refusalFailure maps an agent's refusal to the failure that the caller
+// receives if no other backend server admits the request.
+func refusalFailure(r *wirepb.Refuse, peer string) *request.Failure {
 	status, reason, retry := http.StatusServiceUnavailable, reasonBusy, retrySoon
 	switch r.GetCode() {
 	case wirepb.RefuseCode_REFUSE_DRAINING:
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -12,16 +12,17 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// exchange runs start as this call's present attempt and relays its answer.
-func (c *call) exchange(ctx context.Context, to routing.Choice, start *wirepb.Start) result {
+// runAttempt runs start as this call's current attempt and relays its answer
+// to the sink.
+func (c *call) runAttempt(ctx context.Context, to routing.Choice, start *wirepb.Start) result {
 	attempt := start.GetAttempt()
-	c.asm.StartAttempt(attempt)
-	c.began, c.first = time.Now(), time.Time{}
-	res := c.e.exchange(ctx, to, start, c.spec.Body, hooks{
-		sending: c.sending,
-		head:    c.out.head,
+	c.assembler.StartAttempt(attempt)
+	c.attemptStart, c.firstChunkAt = time.Now(), time.Time{}
+	res := c.e.runAttempt(ctx, to, start, c.spec.Body, hooks{
+		beforeBody: c.markBodySent,
+		head:       c.sink.head,
 		chunk: func(ch *wirepb.Chunk) error {
-			return c.asm.Offer(attempt, ch.GetSequence(), ch.GetData(), c.emit)
+			return c.assembler.Offer(attempt, ch.GetSequence(), ch.GetData(), c.deliver)
 		},
 	})
 	if res.end.GetCode() == wirepb.EndCode_END_OK {
@@ -30,74 +31,76 @@
 	return res
 }
 
-func (c *call) sending() {
-	c.admitted++
-	c.life.MarkMayHaveRun()
+func (c *call) markBodySent() {
+	c.admittedAttempts++
+	c.lifecycle.MarkMayHaveRun()
 }
 
-// emit gives the next chunk in order to the caller.
-func (c *call) emit(data []byte) error {
-	if c.first.IsZero() {
-		c.first = time.Now()
+// deliver passes the next chunk in sequence to the sink.
+func (c *call) deliver(data []byte) error {
+	if c.firstChunkAt.IsZero() {
+		c.firstChunkAt = time.Now()
 	}
-	if c.asm.NextSequence() == 1 {
-		c.firstToken = c.first
+	if c.assembler.NextSequence() == 1 {
+		c.firstTokenAt = c.firstChunkAt
 		c.ticket.PrefillDone()
-		c.e.meters.firstToken(c.spec.Class(), time.Since(c.spec.Arrived))
+		c.e.metrics.recordTTFT(c.spec.Class(), time.Since(c.spec.Arrived))
 	}
-	if err := c.out.chunk(data); err != nil {
+	if err := c.sink.chunk(data); err != nil {
 		return err
 	}
-	if c.out.started() {
-		c.reach(request.Answering)
+	if c.sink.started() {
+		c.ensureState(request.Answering)
 	}
 	return nil
 }
 
-// complete ends an answer that its agent calls whole, if it is.
+// complete finishes an answer that the agent reported as complete, after
+// checking that all chunks have arrived.
 func (c *call) complete(res *result) {
-	if err := c.asm.CheckComplete(res.end.GetChunks()); err != nil {
-		res.err = errors.Annotatef(err, "step end, peer %s", res.peer)
+	if err := c.assembler.CheckComplete(res.end.GetChunks()); err != nil {
+		res.err = errors.Annotatef(err, "step end, peer %s", res.server)
 		return
 	}
-	c.output = int64(res.end.GetOutputTokens())
-	c.learn(res)
-	if err := c.out.finish(res.end); err != nil {
+	c.outputTokens = int64(res.end.GetOutputTokens())
+	c.recordCompletion(res)
+	if err := c.sink.finish(res.end); err != nil {
 		res.callerErr = err
 		res.err = err
 	}
 }
 
-// learn takes in what a finished answer says of its engine and its prompt.
-func (c *call) learn(res *result) {
+// recordCompletion records what a completed answer shows about its engine and
+// prompt: in the quarantine, the prefix index and the cost model.
+func (c *call) recordCompletion(res *result) {
 	now := time.Now()
 	if c.body == nil {
 		return
 	}
-	if c.alone {
+	if c.runAlone {
 		c.e.cfg.Quarantine.RecordCompletion(c.spec.Fingerprint, now)
 	}
 	if c.e.cfg.Prefixes != nil {
-		c.e.cfg.Prefixes.RecordSent(backend.KeyOf(res.peer), c.spec.PrefixHashes)
+		c.e.cfg.Prefixes.RecordSent(backend.KeyOf(res.server), c.spec.PrefixHashes)
 	}
-	if c.e.cfg.Costs != nil && !c.first.IsZero() {
+	if c.e.cfg.Costs != nil && !c.firstChunkAt.IsZero() {
 		c.e.cfg.Costs.Record(c.pool, routing.Observation{
 			PromptTokens: int64(res.end.GetPromptTokens()),
 			CachedTokens: int64(res.end.GetCachedTokens()),
 			Prefill:      time.Duration(res.end.GetPrefillUs()) * time.Microsecond,
 			OutputTokens: int64(res.end.GetOutputTokens()),
-			Decode:       now.Sub(c.first),
+			Decode:       now.Sub(c.firstChunkAt),
 			Running:      int32(res.end.GetLoad().GetRunning()) + 1,
-			Elapsed:      now.Sub(c.began),
+			Elapsed:      now.Sub(c.attemptStart),
 		})
 	}
 }
 
-func (c *call) start() *wirepb.Start {
+func (c *call) newStart() *wirepb.Start {
 	s := c.spec
 	start := &wirepb.Start{
 		RequestId:        s.ID,
-		Attempt:          c.life.BeginAttempt(),
+		Attempt:          c.lifecycle.BeginAttempt(),
 		Workspace:        s.Workspace,
 		Pool:             c.pool,
 		Model:            s.Model,
@@ -113,7 +116,7 @@
 		Long:             s.Class() == request.ClassHuge,
 		Entry:            c.e.cfg.Name,
 		EntryIncarnation: c.e.cfg.Incarnation,
-		Alone:            c.alone,
+		Alone:            c.runAlone,
 		BodyBytes:        uint64(len(s.Body)),
 		Stream:           s.Stream,
 	}
@@ -123,9 +126,9 @@
 			start.Headers = append(start.Headers, &wirepb.Header{Name: name, Value: value})
 		}
 	}
-	if c.asm.NextSequence() > 0 {
-		start.ResumeFrom = c.asm.NextSequence()
-		start.PriorText = c.out.prior()
+	if c.assembler.NextSequence() > 0 {
+		start.ResumeFrom = c.assembler.NextSequence()
+		start.PriorText = c.sink.prior()
 	}
 	return start
 }
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -7,8 +7,8 @@
 	"github.com/briarturn/briarturn/request"
 )
 
-// FuzzParseBody feeds bodies from the network. Whatever comes, parsing must not
-// panic, and what it accepts must be within bounds.
+// FuzzParseBody checks that parsing arbitrary bodies doesn't panic and that
+// accepted bodies are within the limits.
 func FuzzParseBody(f *testing.F) {
 	for _, seed := range []string{chatBodyText, streamBodyText, `{"model":"m","prompt":["x"]}`, `{"model":"m","messages":[{"content":null}]}`,
 		`{"model":"\u00e9","messages":[{"content":[{"type":"text","text":"\ud800"}]}]}`, `null`, `{"n":1e999}`, `{"model":"m","prompt":"x","max_tokens":null}`, ` {"model":"m","prompt":"\\"}`} {
@@ -23,15 +23,15 @@
 				}
 				continue
 			}
-			if n := len(body.prefix()); n > maxPrefixBlocks {
+			if n := len(body.prefixHashes()); n > maxPrefixBlocks {
 				t.Fatalf("%d prefix blocks", n)
 			}
-			if got, want := tokensOf(len(body.text())), body.promptTokens(); got != want {
-				t.Fatalf("%d tokens of text, %d counted", got, want)
+			if got, want := estimateTokens(len(body.text())), body.promptTokens(); got != want {
+				t.Fatalf("estimated %d tokens of the text, promptTokens returned %d", got, want)
 			}
 			again, f := parseBody(kind, withMaxTokens(slices.Clone(raw), 7))
 			if f != nil || again.fingerprint() != body.fingerprint() || again.MaxTokens == nil || *again.MaxTokens != 7 {
-				t.Fatalf("the body with max_tokens differs: %v", f)
+				t.Fatalf("the body with max_tokens appended differs: %v", f)
 			}
 		}
 	})
--- a/entry/harness_test.go
+++ b/entry/harness_test.go
@@ -32,19 +32,19 @@
 	"github.com/briarturn/briarturn/workspace"
 )
 
-// fakeAgent runs script for each run and keeps what it met.
+// fakeAgent runs script for each run and records the requests that it receives.
 type fakeAgent struct {
 	wirepb.DRPCAgentUnimplementedServer
-	script func(*fakeRun) error
-	hold   func(*wirepb.HoldRequest) *wirepb.HoldResponse
+	script     func(*fakeRun) error
+	holdScript func(*wirepb.HoldRequest) *wirepb.HoldResponse
 
-	mu     sync.Mutex
-	starts []*wirepb.Start
-	bodies []string
-	ended  int
-	held   map[string]uint64 // live holds
-	last   *wirepb.HoldRequest
-	extend int
+	mu         sync.Mutex
+	starts     []*wirepb.Start
+	bodies     []string
+	ended      int
+	held       map[string]uint64 // tokens of the current holds, by id
+	lastHold   *wirepb.HoldRequest
+	extensions int
 }
 
 // fakeRun is one run of a fakeAgent.
@@ -52,7 +52,7 @@
 	wirepb.DRPCAgent_RunStream
 	agent *fakeAgent
 	start *wirepb.Start
-	nth   int // of this agent's runs, from 0
+	index int // number of the run on this agent, from 0
 }
 
 func (a *fakeAgent) Run(s wirepb.DRPCAgent_RunStream) error {
@@ -61,7 +61,7 @@
 		return err
 	}
 	a.mu.Lock()
-	r := &fakeRun{DRPCAgent_RunStream: s, agent: a, start: up.GetStart(), nth: len(a.starts)}
+	r := &fakeRun{DRPCAgent_RunStream: s, agent: a, start: up.GetStart(), index: len(a.starts)}
 	a.starts = append(a.starts, r.start)
 	a.mu.Unlock()
 	defer func() {
@@ -104,8 +104,8 @@
 	return r.Send(&wirepb.RunDown{Body: &wirepb.RunDown_End{End: e}})
 }
 
-// tokens gives chunks from to (excluded) of the answer "t0 t1 t2 ...".
-func (r *fakeRun) tokens(from, to int) {
+// sendTokens sends the chunks [from, to) of the answer "t0 t1 t2 ...".
+func (r *fakeRun) sendTokens(from, to int) {
 	for i := from; i < to; i++ {
 		r.chunk(uint64(i), tokenChunk(i))
 	}
@@ -123,26 +123,26 @@
 	return text.String()
 }
 
-func okEnd(chunks int) *wirepb.End {
+func endOK(chunks int) *wirepb.End {
 	return &wirepb.End{Code: wirepb.EndCode_END_OK, Began: true, Chunks: uint64(chunks), PromptTokens: 2, OutputTokens: uint64(chunks)}
 }
 
-// answers is a script that gives n tokens.
-func answers(n int) func(*fakeRun) error {
+// respondTokens returns a script that answers with n tokens.
+func respondTokens(n int) func(*fakeRun) error {
 	return func(r *fakeRun) error {
 		r.admit()
-		r.tokens(int(r.start.GetResumeFrom()), n)
-		return r.end(okEnd(n))
+		r.sendTokens(int(r.start.GetResumeFrom()), n)
+		return r.end(endOK(n))
 	}
 }
 
 func (a *fakeAgent) Hold(_ context.Context, in *wirepb.HoldRequest) (*wirepb.HoldResponse, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.last = in
+	a.lastHold = in
 	out := &wirepb.HoldResponse{Granted: true, TtlMs: in.GetTtlMs()}
-	if a.hold != nil {
-		out = a.hold(in)
+	if a.holdScript != nil {
+		out = a.holdScript(in)
 	}
 	if out.GetGranted() {
 		if a.held == nil {
@@ -156,7 +156,7 @@
 func (a *fakeAgent) ExtendHolds(_ context.Context, in *wirepb.HoldRefs) (*wirepb.HoldStates, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.extend++
+	a.extensions++
 	out := &wirepb.HoldStates{}
 	for _, h := range in.GetHolds() {
 		if _, ok := a.held[h.GetHoldId()]; !ok {
@@ -181,24 +181,25 @@
 	return len(a.starts)
 }
 
-// fakeFleet is an AgentClient, a ServerTable and a Policy over fake agents, best first.
+// fakeFleet is an AgentClient, a ServerTable and a Policy over fake agents. It
+// chooses servers in the order of the agents.
 type fakeFleet struct {
-	agents   map[string]*fakeAgent // by name, which is also the address
-	order    []string
-	memory   int64
-	expected time.Duration
-	down     map[string]bool
-
-	mu       sync.Mutex
-	begun    int
-	suspect  []string
-	dead     map[string]bool
-	observed map[string]backend.Load
-	open     int
-	queries  []routing.Query
-}
-
-func fleet(agents ...*fakeAgent) *fakeFleet {
+	agents       map[string]*fakeAgent // by name, which is also the address
+	order        []string
+	memory       int64
+	expectedTTFT time.Duration
+	down         map[string]bool
+
+	mu         sync.Mutex
+	dispatches int
+	suspects   []string
+	dead       map[string]bool
+	observed   map[string]backend.Load
+	openConns  int
+	queries    []routing.Query
+}
+
+func newFakeFleet(agents ...*fakeAgent) *fakeFleet {
 	f := &fakeFleet{agents: map[string]*fakeAgent{}, down: map[string]bool{}, dead: map[string]bool{},
 		observed: map[string]backend.Load{}, memory: 400_000}
 	for i, a := range agents {
@@ -218,18 +219,18 @@
 		return nil, err
 	}
 	near, far := net.Pipe()
-	f.count(1)
+	f.addConns(1)
 	go func() {
 		_ = drpcserver.New(mux).ServeOne(context.Background(), far)
-		f.count(-1)
+		f.addConns(-1)
 	}()
 	return drpcconn.New(near), nil
 }
 
-func (f *fakeFleet) count(n int) {
+func (f *fakeFleet) addConns(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.open += n
+	f.openConns += n
 }
 
 func (f *fakeFleet) Run(ctx context.Context, address string) (wirepb.DRPCAgent_RunClient, error) {
@@ -241,7 +242,7 @@
 	return wirepb.NewDRPCAgentClient(conn).Run(ctx)
 }
 
-func call1[I, O any](f *fakeFleet, address string, in I, call func(wirepb.DRPCAgentClient, I) (O, error)) (O, error) {
+func callAgent[I, O any](f *fakeFleet, address string, in I, call func(wirepb.DRPCAgentClient, I) (O, error)) (O, error) {
 	conn, err := f.conn(address)
 	if err != nil {
 		var none O
@@ -252,19 +253,19 @@
 }
 
 func (f *fakeFleet) Hold(ctx context.Context, address string, in *wirepb.HoldRequest) (*wirepb.HoldResponse, error) {
-	return call1(f, address, in, func(c wirepb.DRPCAgentClient, in *wirepb.HoldRequest) (*wirepb.HoldResponse, error) {
+	return callAgent(f, address, in, func(c wirepb.DRPCAgentClient, in *wirepb.HoldRequest) (*wirepb.HoldResponse, error) {
 		return c.Hold(ctx, in)
 	})
 }
 
 func (f *fakeFleet) ExtendHolds(ctx context.Context, address string, in *wirepb.HoldRefs) (*wirepb.HoldStates, error) {
-	return call1(f, address, in, func(c wirepb.DRPCAgentClient, in *wirepb.HoldRefs) (*wirepb.HoldStates, error) {
+	return callAgent(f, address, in, func(c wirepb.DRPCAgentClient, in *wirepb.HoldRefs) (*wirepb.HoldStates, error) {
 		return c.ExtendHolds(ctx, in)
 	})
 }
 
 func (f *fakeFleet) ReleaseHolds(ctx context.Context, address string, in *wirepb.HoldRefs) (*wirepb.HoldStates, error) {
-	return call1(f, address, in, func(c wirepb.DRPCAgentClient, in *wirepb.HoldRefs) (*wirepb.HoldStates, error) {
+	return callAgent(f, address, in, func(c wirepb.DRPCAgentClient, in *wirepb.HoldRefs) (*wirepb.HoldStates, error) {
 		return c.ReleaseHolds(ctx, in)
 	})
 }
@@ -292,22 +293,22 @@
 }
 
 func (f *fakeFleet) BeginDispatch(string, backend.DispatchLoad, time.Time) backend.Dispatch {
-	f.add(1)
+	f.addDispatches(1)
 	return backend.Dispatch{}
 }
 
-func (f *fakeFleet) EndDispatch(backend.Dispatch) { f.add(-1) }
+func (f *fakeFleet) EndDispatch(backend.Dispatch) { f.addDispatches(-1) }
 
 func (f *fakeFleet) MarkSuspect(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.suspect = append(f.suspect, name)
+	f.suspects = append(f.suspects, name)
 }
 
-func (f *fakeFleet) add(n int) {
+func (f *fakeFleet) addDispatches(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.begun += n
+	f.dispatches += n
 }
 
 func (f *fakeFleet) ObserveResponse(name string, l backend.Load, _ time.Time) {
@@ -329,7 +330,7 @@
 	for _, r := range rows {
 		if len(out) < most && !skip[r.Name] {
 			out = append(out, routing.Choice{Name: r.Name, RPCAddress: r.RPCAddress, EngineAddress: r.EngineAddress,
-				ExpectedTTFT: f.expected, FreeTokens: r.MemoryTokens})
+				ExpectedTTFT: f.expectedTTFT, FreeTokens: r.MemoryTokens})
 		}
 	}
 	return out
@@ -337,12 +338,12 @@
 
 type fakeCatalog struct{}
 
-// ownPool is a pool with a policy and a share of its own.
+// ownPool returns a pool with its own policy and ShortShare.
 func ownPool() Pool {
 	return Pool{Name: "own-pool", Models: []string{"m"}, ShortShare: 0.5, Policy: lastPolicy{}}
 }
 
-// lastPolicy chooses the last row only.
+// lastPolicy chooses only the last row.
 type lastPolicy struct{}
 
 func (lastPolicy) Name() string { return "last" }
@@ -372,26 +373,26 @@
 }
 func (fakeCatalog) Service(name string) bool { return name == "roster-app" }
 
-// bench is an entry over a fake fleet.
-type bench struct {
+// testEntry is an entry with a fake fleet.
+type testEntry struct {
 	*Entry
-	fleet     *fakeFleet
-	scheduler *workspace.Scheduler
-	store     *standin.Memory
-	book      *quarantine.Tracker
+	fleet      *fakeFleet
+	scheduler  *workspace.Scheduler
+	store      *standin.Memory
+	quarantine *quarantine.Tracker
 }
 
-func newBench(t testing.TB, f *fakeFleet, limits Limits) *bench {
+func newTestEntry(t testing.TB, f *fakeFleet, limits Limits) *testEntry {
 	t.Helper()
 	log := quiet.Logger()
-	b := &bench{fleet: f, scheduler: workspace.NewScheduler(workspace.Options{}), book: quarantine.NewTracker(quarantine.DefaultOptions),
+	b := &testEntry{fleet: f, scheduler: workspace.NewScheduler(workspace.Options{}), quarantine: quarantine.NewTracker(quarantine.DefaultOptions),
 		store: standin.NewMemory(standin.Config{})}
 	claims, err := claim.New(claim.Config{Store: b.store, Entry: "en1", Metrics: metrics.NewRegistry()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	e, err := New(Config{Name: "en1", Zone: "hobart", Incarnation: 1, Servers: f, Policy: f, Scheduler: b.scheduler,
-		AgentClient: f, Claimer: claims, Catalog: fakeCatalog{}, Quarantine: b.book,
+		AgentClient: f, Claimer: claims, Catalog: fakeCatalog{}, Quarantine: b.quarantine,
 		Metrics: metrics.NewRegistry(), Log: log, Limits: limits})
 	if err != nil {
 		t.Fatal(err)
@@ -405,7 +406,7 @@
 	streamBodyText = `{"model":"m","stream":true,"messages":[{"role":"user","content":"hello"}],"max_tokens":8}`
 )
 
-func post(ctx context.Context, b *bench, path, body string, headers ...string) *httptest.ResponseRecorder {
+func post(ctx context.Context, b *testEntry, path, body string, headers ...string) *httptest.ResponseRecorder {
 	r := httptest.NewRequestWithContext(ctx, http.MethodPost, path, strings.NewReader(body))
 	for i := 0; i+1 < len(headers); i += 2 {
 		r.Header.Set(headers[i], headers[i+1])
@@ -415,12 +416,12 @@
 	return w
 }
 
-func chat(b *bench, body string, headers ...string) *httptest.ResponseRecorder {
+func chat(b *testEntry, body string, headers ...string) *httptest.ResponseRecorder {
 	return post(context.Background(), b, "/v1/chat/completions", body, headers...)
 }
 
-// wantFailure checks status, certainty and reason of a failure's body.
-func wantFailure(t *testing.T, w *httptest.ResponseRecorder, status int, code request.FailureCode, reason string) {
+// assertFailure checks the status, code and reason of a failure response.
+func assertFailure(t *testing.T, w *httptest.ResponseRecorder, status int, code request.FailureCode, reason string) {
 	t.Helper()
 	var body errorBody
 	if err := json.Unmarshal(w.Body.Bytes(), &body); err != nil {
@@ -432,8 +433,8 @@
 	}
 }
 
-// wantText checks a whole answer's text.
-func wantText(t *testing.T, w *httptest.ResponseRecorder, text string) {
+// assertText checks the text of an answer that isn't streamed.
+func assertText(t *testing.T, w *httptest.ResponseRecorder, text string) {
 	t.Helper()
 	var out completionJSON
 	if err := json.Unmarshal(w.Body.Bytes(), &out); err != nil || w.Code != http.StatusOK || len(out.Choices) != 1 {
@@ -444,7 +445,8 @@
 	}
 }
 
-// streamText joins the text of an event stream and reports whether it is done.
+// streamText returns the text of an event stream, whether it ended with
+// [DONE], and the failure that it reported.
 func streamText(t *testing.T, body string) (text string, done bool, failure *errorFields) {
 	t.Helper()
 	for _, event := range strings.Split(strings.TrimSuffix(body, "\n\n"), "\n\n") {
@@ -470,19 +472,20 @@
 	return text, done, failure
 }
 
-// wantNothingHeld checks that every path gave back what it took.
-func (b *bench) wantNothingHeld(t *testing.T) {
+// assertNothingHeld checks that all tickets, dispatches, holds and runs were
+// released.
+func (b *testEntry) assertNothingHeld(t *testing.T) {
 	t.Helper()
 	b.fleet.mu.Lock()
-	if n := b.fleet.begun; n != 0 {
-		t.Errorf("table still counts %d", n)
+	if n := b.fleet.dispatches; n != 0 {
+		t.Errorf("the server table still counts %d dispatches", n)
 	}
 	b.fleet.mu.Unlock()
 	if waiting, running := b.scheduler.Depth(); waiting+running != 0 {
-		t.Errorf("%d and %d tickets not released", waiting, running)
+		t.Errorf("%d waiting and %d running tickets not released", waiting, running)
 	}
 	if n := b.Status().Running; n != 0 {
-		t.Errorf("%d requests still counted", n)
+		t.Errorf("%d requests still counted as in progress", n)
 	}
 	for name, a := range b.fleet.agents {
 		a.mu.Lock()
@@ -496,8 +499,9 @@
 	}
 }
 
-// TestMain starts the ticker that all meters share. Begun inside a synctest
-// bubble it would belong to it, and virtual time would never stand still.
+// TestMain starts the ticker that all go-metrics meters share. If it were
+// started in a synctest bubble, it would belong to the bubble and keep its
+// virtual time running.
 func TestMain(m *testing.M) {
 	metrics.NewMeter().Stop()
 	os.Exit(m.Run())
--- a/entry/http.go
+++ b/entry/http.go
@@ -16,7 +16,7 @@
 	"github.com/briarturn/briarturn/request"
 )
 
-// Headers of the callers' API.
+// Headers of the HTTP API for callers.
 const (
 	headerKey           = "Idempotency-Key"
 	headerTimeout       = "X-Request-Timeout-Ms"
@@ -32,28 +32,29 @@
 	maxNameBytes     = 128
 	maxKeyBytes      = 256
 	servicesPrefix   = "/services/"
-	// maxTokensRoom is the room left in a body's buffer for withMaxTokens.
-	maxTokensRoom = 64
+	// maxTokensSuffixBytes is the spare capacity in a body's buffer for the bytes
+	// that withMaxTokens appends.
+	maxTokensSuffixBytes = 64
 )
 
-// Handler returns the callers' HTTP API.
+// Handler returns the handler of the HTTP API for callers.
 func (e *Entry) Handler() http.Handler { return http.HandlerFunc(e.serveHTTP) }
 
-// serveHTTP bounds the time to read a request's body.
+// serveHTTP limits the time to read a request's body.
 //
-// Without this deadline a caller that sends a byte a minute would keep its
-// goroutine and buffer for ever, also where the answer is a refusal that needs
-// no body: the server reads the rest of a body before it sends the response.
-// readBody clears it once the body is there, since the server's own read in the
-// background is what notices that the caller has gone.
+// Without this deadline a caller that sends one byte per minute would occupy
+// its goroutine and buffer indefinitely, even if the request is refused
+// without reading its body, since net/http reads the rest of the body before
+// it sends the response. readBody clears the deadline after the body, since
+// the background read of net/http detects a disconnect of the caller.
 func (e *Entry) serveHTTP(w http.ResponseWriter, r *http.Request) {
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(e.limits.ReadTimeout))
 	e.mux.ServeHTTP(w, r)
 }
 
 // Server returns an http.Server for the callers' listener with the entry's
-// limits on headers and time. It sets no WriteTimeout: a stream may last as long
-// as its request's time limit, and each write has a deadline of its own.
+// header size and time limits. It sets no WriteTimeout: a stream may last
+// until its request's time limit, and each write has its own deadline.
 func (e *Entry) Server() *http.Server {
 	return &http.Server{
 		Handler:           e.Handler(),
@@ -65,37 +66,39 @@
 
 func (e *Entry) routes() *http.ServeMux {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/chat/completions", e.counted(e.chat))
-	mux.HandleFunc("POST /v1/completions", e.counted(e.completion))
+	mux.HandleFunc("POST /v1/chat/completions", e.tracked(e.chat))
+	mux.HandleFunc("POST /v1/completions", e.tracked(e.completion))
 	mux.HandleFunc("GET /v1/models", e.models)
 	mux.HandleFunc("POST /v1/idempotency-keys", e.issueKey)
-	mux.HandleFunc(servicesPrefix, e.counted(e.service))
+	mux.HandleFunc(servicesPrefix, e.tracked(e.service))
 	mux.HandleFunc("/", e.unknownPath)
 	return mux
 }
 
-// counted wraps the handler of a request that takes part in drain and metrics.
-func (e *Entry) counted(h func(http.ResponseWriter, *http.Request, time.Time)) http.HandlerFunc {
+// tracked wraps a handler so that its requests are counted in the metrics and
+// Drain waits for them.
+func (e *Entry) tracked(h func(http.ResponseWriter, *http.Request, time.Time)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		arrived := time.Now()
-		e.meters.received.Inc(1)
-		leave, f := e.enter()
+		e.metrics.received.Inc(1)
+		leave, f := e.beginRequest()
 		if f != nil {
-			// The caller must not keep a connection for its next request:
-			// one sent while the process ends would be lost.
+			// The caller must not reuse the connection: a request that it
+			// sends while the process exits would be lost.
 			w.Header().Set("Connection", "close")
 			e.refuse(w, f)
 			return
 		}
 		defer leave()
 		h(w, r, arrived)
-		e.meters.total.UpdateSince(arrived)
+		e.metrics.total.UpdateSince(arrived)
 	}
 }
 
-// refuse answers a request that never became a call.
+// refuse counts and reports the failure of a request for which no call was
+// created.
 func (e *Entry) refuse(w http.ResponseWriter, f *request.Failure) {
-	e.meters.failure(f)
+	e.metrics.countFailure(f)
 	writeFailure(w, f, "")
 }
 
@@ -107,23 +110,23 @@
 	e.generate(w, r, request.KindCompletion, arrived)
 }
 
-// generate serves one request to a model.
+// generate serves one chat or completion request.
 func (e *Entry) generate(w http.ResponseWriter, r *http.Request, kind request.Kind, arrived time.Time) {
-	c, f := e.readGenerate(w, r, kind, arrived)
+	c, f := e.readGenerateRequest(w, r, kind, arrived)
 	if f != nil {
 		e.refuse(w, f)
 		return
 	}
 	w.Header().Set(headerRequestID, c.spec.ID)
 	if c.spec.Stream {
-		c.out = newStreamSink(w, c, e.limits.WriteTimeout)
+		c.sink = newStreamSink(w, c, e.limits.WriteTimeout)
 	} else {
-		c.out = newWholeSink(w, c, e.limits.WriteTimeout)
+		c.sink = newBufferedSink(w, c, e.limits.WriteTimeout)
 	}
-	c.live(r.Context())
+	c.execute(r.Context())
 }
 
-func (e *Entry) readGenerate(w http.ResponseWriter, r *http.Request, kind request.Kind, arrived time.Time) (*call, *request.Failure) {
+func (e *Entry) readGenerateRequest(w http.ResponseWriter, r *http.Request, kind request.Kind, arrived time.Time) (*call, *request.Failure) {
 	spec, f := e.readSpec(r, kind, arrived)
 	if f != nil {
 		return nil, f
@@ -138,16 +141,16 @@
 	pool, ok := e.cfg.Catalog.Pool(body.Model)
 	if !ok {
 		return nil, notRun(http.StatusNotFound, reasonUnknownModel, "read",
-			fmt.Sprintf("there is no model or pool %q", clip(body.Model)), 0)
+			fmt.Sprintf("there is no model or pool %q", truncate(body.Model)), 0)
 	}
-	if f := e.fill(spec, body, pool); f != nil {
+	if f := e.fillSpec(spec, body, pool); f != nil {
 		return nil, f
 	}
 	return e.newCall(spec, body, pool), nil
 }
 
-// fill sets what the spec takes from the parsed body.
-func (e *Entry) fill(spec *request.Spec, body *chatBody, pool Pool) *request.Failure {
+// fillSpec sets the fields of spec that come from the parsed body and the pool.
+func (e *Entry) fillSpec(spec *request.Spec, body *requestBody, pool Pool) *request.Failure {
 	limit := e.limits.MaxTokens
 	if pool.MaxTokens > 0 {
 		limit = min(limit, pool.MaxTokens)
@@ -171,12 +174,12 @@
 	}
 	spec.Stream = body.Stream
 	spec.Fingerprint = body.fingerprint()
-	spec.PrefixHashes = body.prefix()
+	spec.PrefixHashes = body.prefixHashes()
 	spec.Body = withMaxTokens(spec.Body, spec.MaxTokens)
 	return nil
 }
 
-// readSpec reads what the headers say.
+// readSpec creates a spec from the request headers.
 func (e *Entry) readSpec(r *http.Request, kind request.Kind, arrived time.Time) (*request.Spec, *request.Failure) {
 	name, workspace, f := e.readWorkspace(r)
 	if f != nil {
@@ -194,11 +197,11 @@
 	if len(key) > maxKeyBytes {
 		return nil, badRequest(reasonBadRequest, fmt.Sprintf("%s is longer than %d bytes", headerKey, maxKeyBytes))
 	}
-	marked, f := readFlag(r, headerNonIdempotent)
+	nonIdempotent, f := readBoolHeader(r, headerNonIdempotent)
 	if f != nil {
 		return nil, f
 	}
-	first, f := readFlag(r, headerFirstSend)
+	first, f := readBoolHeader(r, headerFirstSend)
 	if f != nil {
 		return nil, f
 	}
@@ -208,7 +211,7 @@
 		Workspace:      name,
 		Priority:       class.Priority,
 		IdempotencyKey: key,
-		Idempotent:     !marked,
+		Idempotent:     !nonIdempotent,
 		FirstSend:      first,
 		Arrived:        arrived,
 		Deadline:       arrived.Add(timeout),
@@ -226,11 +229,12 @@
 		}
 	}
 	return "", Workspace{}, notRun(http.StatusForbidden, reasonUnknownWorkspace, "read",
-		fmt.Sprintf("workspace %q is not known", clip(name)), 0)
+		fmt.Sprintf("workspace %q is not known", truncate(name)), 0)
 }
 
-// readClass finds the service class that a request names; without one it is
-// the soonest. An unknown one is refused: its caller counts on its time limit.
+// readClass returns the service class that a request names. Without one it
+// returns the zero class, whose requests start first. An unknown class is
+// refused, since the caller relies on the time limit of its class.
 func readClass(r *http.Request, workspace Workspace) (ServiceClass, *request.Failure) {
 	name := r.Header.Get(headerServiceClass)
 	if name == "" {
@@ -241,12 +245,12 @@
 			return class, nil
 		}
 	}
-	return ServiceClass{}, badRequest(reasonBadRequest, fmt.Sprintf("the workspace has no service class %q", clip(name)))
+	return ServiceClass{}, badRequest(reasonBadRequest, fmt.Sprintf("the workspace has no service class %q", truncate(name)))
 }
 
-// readFlag reads a header that is true or false. Another value is refused:
-// taking the non-idempotent mark for false could run a booking twice.
-func readFlag(r *http.Request, header string) (bool, *request.Failure) {
+// readBoolHeader parses a boolean header. Other values are refused: if an invalid
+// X-Non-Idempotent counted as false, a booking could run twice.
+func readBoolHeader(r *http.Request, header string) (bool, *request.Failure) {
 	switch strings.ToLower(r.Header.Get(header)) {
 	case "", "false", "0":
 		return false, nil
@@ -256,18 +260,18 @@
 	return false, badRequest(reasonBadRequest, header+" must be true or false")
 }
 
-// readTimeout returns the request's time limit: the caller's, else its class's,
-// its workspace's or the entry's.
+// readTimeout returns the request's time limit: the caller's if set, otherwise
+// the default of its class, its workspace or the entry, in this order.
 func (e *Entry) readTimeout(r *http.Request, workspace Workspace, class ServiceClass) (time.Duration, *request.Failure) {
-	most := min(e.limits.MaxTimeout, cmp.Or(workspace.MaxTimeout, e.limits.MaxTimeout))
+	maxTimeout := min(e.limits.MaxTimeout, cmp.Or(workspace.MaxTimeout, e.limits.MaxTimeout))
 	v := r.Header.Get(headerTimeout)
 	if v == "" {
-		return min(most, cmp.Or(class.Timeout, workspace.DefaultTimeout, e.limits.DefaultTimeout)), nil
+		return min(maxTimeout, cmp.Or(class.Timeout, workspace.DefaultTimeout, e.limits.DefaultTimeout)), nil
 	}
 	ms, err := strconv.ParseInt(v, 10, 64)
-	if err != nil || ms < 1 || ms > most.Milliseconds() {
+	if err != nil || ms < 1 || ms > maxTimeout.Milliseconds() {
 		return 0, badRequest(reasonBadRequest, fmt.Sprintf("%s must be a number of milliseconds from 1 to %d",
-			headerTimeout, most.Milliseconds()))
+			headerTimeout, maxTimeout.Milliseconds()))
 	}
 	return time.Duration(ms) * time.Millisecond, nil
 }
@@ -293,13 +297,13 @@
 	return nil, badRequest(reasonBadRequest, "the body could not be read: "+err.Error())
 }
 
-// readAll reads into one buffer of the announced size, so that a prompt of
-// megabytes isn't copied while the buffer grows.
+// readAll reads into a single buffer of the declared size, so that a prompt of
+// several megabytes isn't copied while the buffer grows.
 func readAll(r io.Reader, size int64) ([]byte, error) {
 	if size <= 0 {
 		return io.ReadAll(r)
 	}
-	body := make([]byte, size, size+maxTokensRoom)
+	body := make([]byte, size, size+maxTokensSuffixBytes)
 	_, err := io.ReadFull(r, body)
 	return body, err
 }
@@ -333,9 +337,9 @@
 	_ = json.NewEncoder(w).Encode(list)
 }
 
-// issueKey answers POST /v1/idempotency-keys: a key for one non-idempotent call.
-// Claims of it need no store while this entry lives, so that confirmations go
-// through an outage of the platform.
+// issueKey answers POST /v1/idempotency-keys with a key for one non-idempotent
+// call. Claims of this key need no store while this entry runs, so that
+// confirmations succeed during an outage of the platform.
 func (e *Entry) issueKey(w http.ResponseWriter, r *http.Request) {
 	if e.cfg.Claimer == nil || !e.Ready() {
 		e.refuse(w, notRun(http.StatusServiceUnavailable, reasonClaimUnavailable, "issue key",
@@ -353,23 +357,24 @@
 
 func (e *Entry) unknownPath(w http.ResponseWriter, r *http.Request) {
 	f := notRun(http.StatusNotFound, reasonUnknownPath, "read",
-		fmt.Sprintf("there is no %s %s", r.Method, clip(r.URL.Path)), 0)
+		fmt.Sprintf("there is no %s %s", r.Method, truncate(r.URL.Path)), 0)
 	e.refuse(w, f)
 }
 
 var requestCount atomic.Uint64
 
-// nextID names a request uniquely: the incarnation differs after a restart.
+// nextID returns a unique request ID. The incarnation keeps IDs unique over
+// restarts.
 func (e *Entry) nextID() string {
 	return e.cfg.Name + "-" + strconv.FormatUint(e.cfg.Incarnation, 36) +
 		"-" + strconv.FormatUint(requestCount.Add(1), 36)
 }
 
-// clip bounds what of a caller's text is repeated in a message.
-func clip(s string) string {
-	const most = 100
-	if len(s) <= most {
+// truncate limits the length of caller-provided text in a message.
+func truncate(s string) string {
+	const maxBytes = 100
+	if len(s) <= maxBytes {
 		return s
 	}
-	return strings.ToValidUTF8(s[:most], "") + "..."
+	return strings.ToValidUTF8(s[:maxBytes], "") + "..."
 }
--- a/entry/http_test.go
+++ b/entry/http_test.go
@@ -22,7 +22,7 @@
 	"github.com/briarturn/briarturn/workspace"
 )
 
-// The parts of other packages that the role is built from.
+// The implementations in other packages of the interfaces in Config.
 var (
 	_ ServerTable = (*backend.Table)(nil)
 	_ Scheduler   = (*workspace.Scheduler)(nil)
@@ -31,13 +31,12 @@
 	_ Claimer     = (*claim.Claimer)(nil)
 )
 
-// Symptom: a bad request costs engine time, or its caller can't tell what is
-// wrong with it.
-// Sequence: each kind of bad request, one after another.
-// Cause: all is checked before the queue, with a reason and a counter each.
-func TestBadRequestsAreRefusedWithAReason(t *testing.T) {
-	agent := &fakeAgent{script: answers(1)}
-	b := newBench(t, fleet(agent), Limits{MaxBodyBytes: 1000, MaxPromptTokens: 50})
+// Guards against invalid requests that use engine time, or whose failure
+// doesn't state what is wrong. All checks run before queueing, and each
+// failure has a reason and a counter.
+func TestBadRequestsAreRejectedWithReason(t *testing.T) {
+	agent := &fakeAgent{script: respondTokens(1)}
+	b := newTestEntry(t, newFakeFleet(agent), Limits{MaxBodyBytes: 1000, MaxPromptTokens: 50})
 	chatOf := func(extra string) string {
 		return `{"model":"m","messages":[{"role":"user","content":"x"}]` + extra + `}`
 	}
@@ -72,22 +71,22 @@
 		t.Run(c.name, func(t *testing.T) {
 			name := "entry.failed.not_run." + c.reason
 			before := metrics.GetOrRegisterCounter(name, b.cfg.Metrics).Count()
-			wantFailure(t, chat(b, c.body, c.headers...), c.status, request.NotRun, c.reason)
+			assertFailure(t, chat(b, c.body, c.headers...), c.status, request.NotRun, c.reason)
 			if metrics.GetOrRegisterCounter(name, b.cfg.Metrics).Count() != before+1 {
-				t.Error("not counted")
+				t.Error("the failure was not counted")
 			}
 		})
 	}
 	if agent.runs() != 0 {
-		t.Fatal("a bad request ran")
+		t.Fatal("an invalid request ran")
 	}
-	wantFailure(t, post(t.Context(), b, "/v1/embeddings", ""), 404, request.NotRun, reasonUnknownPath)
-	wantFailure(t, post(t.Context(), b, "/services/none/x", ""), 404, request.NotRun, reasonUnknownService)
+	assertFailure(t, post(t.Context(), b, "/v1/embeddings", ""), 404, request.NotRun, reasonUnknownPath)
+	assertFailure(t, post(t.Context(), b, "/services/none/x", ""), 404, request.NotRun, reasonUnknownService)
 }
 
-func TestModelsAndDefaults(t *testing.T) {
-	agent := &fakeAgent{script: answers(1)}
-	b := newBench(t, fleet(agent), Limits{})
+func TestModelListAndRequestDefaults(t *testing.T) {
+	agent := &fakeAgent{script: respondTokens(1)}
+	b := newTestEntry(t, newFakeFleet(agent), Limits{})
 	w := httptest.NewRecorder()
 	b.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/v1/models", nil))
 	if !strings.Contains(w.Body.String(), `"id":"m"`) || !strings.Contains(w.Body.String(), `"id":"briar-pool"`) {
@@ -103,12 +102,12 @@
 	}
 }
 
-// Symptom: a request that names an adapter is answered by the bare model.
-// Sequence: a caller gives the adapter's name as the model, or both apart.
-// Cause: one field of the spec was set twice.
+// Guards against a request for an adapter that is served by the base model.
+// Callers give the adapter's name as the model or in its own field; the fault
+// was a spec field that was set twice.
 func TestModelAndAdapterNames(t *testing.T) {
 	pool := Pool{Name: "briar-pool", Models: []string{"m"}, Adapters: map[string]string{"whistle": "m"}}
-	b := newBench(t, fleet(&fakeAgent{}), Limits{})
+	b := newTestEntry(t, newFakeFleet(&fakeAgent{}), Limits{})
 	for _, c := range []struct{ model, adapter, wantModel, wantAdapter string }{
 		{"m", "", "m", ""},
 		{"briar-pool", "", "m", ""},
@@ -116,21 +115,20 @@
 		{"m", "whistle", "m", "whistle"},
 	} {
 		spec := &request.Spec{Body: []byte("{}")}
-		body := &chatBody{Model: c.model, Adapter: c.adapter, Prompt: "x"}
-		if f := b.fill(spec, body, pool); f != nil || spec.Model != c.wantModel || spec.Adapter != c.wantAdapter {
+		body := &requestBody{Model: c.model, Adapter: c.adapter, Prompt: "x"}
+		if f := b.fillSpec(spec, body, pool); f != nil || spec.Model != c.wantModel || spec.Adapter != c.wantAdapter {
 			t.Errorf("%v: got %s, %s, %v", c, spec.Model, spec.Adapter, f)
 		}
 	}
 }
 
-// Symptom: a caller that stops reading keeps an engine's memory for its whole
-// time limit.
-// Sequence: the caller opens a stream and never reads; the socket fills up.
-// Cause: each write has a deadline; when it passes, the run is freed.
-func TestSlowCallerIsCutOff(t *testing.T) {
+// Guards against a caller that opens a stream and never reads, so that the
+// socket buffer fills up and the engine's memory stays in use for the whole
+// time limit. Each write has a deadline that cancels the run when it expires.
+func TestNonReadingCallerIsDisconnected(t *testing.T) {
 	freed := make(chan struct{})
 	chunk := strings.Repeat("x", 64<<10)
-	b := newBench(t, fleet(&fakeAgent{script: func(r *fakeRun) error {
+	b := newTestEntry(t, newFakeFleet(&fakeAgent{script: func(r *fakeRun) error {
 		defer close(freed)
 		r.admit()
 		for i := uint64(0); r.Context().Err() == nil; i++ {
@@ -150,12 +148,12 @@
 	<-freed
 }
 
-// Symptom: an entry runs out of goroutines and memory under slow senders.
-// Sequence: a caller announces a body and sends only a part of it, in a request
-// that would be served and in ones that are refused unread.
-// Cause: reading the body has a time limit in every case.
-func TestSlowBodyIsCutOff(t *testing.T) {
-	b := newBench(t, fleet(&fakeAgent{script: answers(1)}), Limits{ReadTimeout: 50 * time.Millisecond})
+// Guards against slow senders that exhaust the goroutines and memory of an
+// entry. A caller declares a body and sends only part of it, in a valid
+// request and in requests that are refused without reading the body. Reading
+// the body must have a time limit in all cases.
+func TestSlowBodyTimesOut(t *testing.T) {
+	b := newTestEntry(t, newFakeFleet(&fakeAgent{script: respondTokens(1)}), Limits{ReadTimeout: 50 * time.Millisecond})
 	server := httptest.NewServer(b.Handler())
 	defer server.Close()
 	for _, c := range []struct{ path, header, status string }{
@@ -177,7 +175,7 @@
 	}
 }
 
-func serviceScript(status uint32, parts ...string) func(*fakeRun) error {
+func respondService(status uint32, parts ...string) func(*fakeRun) error {
 	return func(r *fakeRun) error {
 		r.admit()
 		_ = r.Send(&wirepb.RunDown{Body: &wirepb.RunDown_Head{Head: &wirepb.Head{Status: status,
@@ -185,56 +183,56 @@
 		for i, p := range parts {
 			r.chunk(uint64(i), p)
 		}
-		return r.end(okEnd(len(parts)))
+		return r.end(endOK(len(parts)))
 	}
 }
 
-func TestServiceCallIsPassedThrough(t *testing.T) {
+func TestServiceCallIsForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		agent := &fakeAgent{script: serviceScript(201, "book", "ed")}
-		b := newBench(t, fleet(agent), Limits{})
+		agent := &fakeAgent{script: respondService(201, "book", "ed")}
+		b := newTestEntry(t, newFakeFleet(agent), Limits{})
 		head := []string{headerNonIdempotent, "true", headerKey, "k", "X-Club", "north"}
 		for range 2 {
 			w := post(t.Context(), b, "/services/roster-app/confirm?game=7", "yes", head...)
 			if w.Code != 201 || w.Body.String() != "booked" || w.Header().Get("Content-Type") != "text/plain" {
 				t.Fatalf("got %d %q %v", w.Code, w.Body, w.Header())
 			}
-			settled()
+			waitForSettlement()
 		}
 		start := agent.starts[0]
 		if agent.runs() != 1 || start.GetPath() != "/confirm?game=7" || start.GetMethod() != "POST" || agent.bodies[0] != "yes" {
 			t.Fatalf("runs %d, start %v", agent.runs(), start)
 		}
-		b.wantNothingHeld(t)
+		b.assertNothingHeld(t)
 	})
 }
 
-// Symptom: an unmarked booking runs twice.
-// Sequence: a POST to a plain service breaks after its body was sent.
-// Cause: a POST isn't repeatable unless its caller says so; a GET is.
-func TestServicePostIsNotRepeatedUnmarked(t *testing.T) {
+// Guards against a booking without an X-Non-Idempotent header that runs twice
+// when a POST to a plain service breaks after its body was sent. By default a
+// POST must not be retried, a GET may be.
+func TestUnmarkedServicePostIsNotRetried(t *testing.T) {
 	for method, runs := range map[string]int{http.MethodPost: 0, http.MethodGet: 1} {
 		synctest.Test(t, func(t *testing.T) {
 			broken := &fakeAgent{script: func(r *fakeRun) error {
 				r.admit()
 				return r.end(&wirepb.End{Code: wirepb.EndCode_END_STREAM_BROKEN, Began: true})
 			}}
-			other := &fakeAgent{script: serviceScript(200, "ok")}
-			b := newBench(t, fleet(broken, other), Limits{})
+			other := &fakeAgent{script: respondService(200, "ok")}
+			b := newTestEntry(t, newFakeFleet(broken, other), Limits{})
 			w := httptest.NewRecorder()
 			b.Handler().ServeHTTP(w, httptest.NewRequest(method, "/services/roster-app/x", nil))
 			if other.runs() != runs {
-				t.Fatalf("%s: repeated %d times, answer %d", method, other.runs(), w.Code)
+				t.Fatalf("%s: retried %d times, status %d", method, other.runs(), w.Code)
 			}
 		})
 	}
 }
 
-// Symptom: a cut answer of a plain service is taken for a whole one.
-// Sequence: its stream breaks after a part of the body was passed on.
-// Cause: an HTTP response that just ends looks whole; the connection must break.
-func TestCutServiceAnswerBreaksTheConnection(t *testing.T) {
-	b := newBench(t, fleet(&fakeAgent{script: func(r *fakeRun) error {
+// Guards against a truncated response of a plain service that looks complete.
+// Its stream breaks after part of the body was forwarded; an HTTP response
+// that ends normally would look complete, so the connection must be aborted.
+func TestBrokenServiceAnswerAbortsConnection(t *testing.T) {
+	b := newTestEntry(t, newFakeFleet(&fakeAgent{script: func(r *fakeRun) error {
 		r.admit()
 		r.chunk(0, "a part")
 		return r.end(&wirepb.End{Code: wirepb.EndCode_END_STREAM_BROKEN, Began: true})
@@ -258,26 +256,26 @@
 	}
 }
 
-// Symptom: an entry is killed for its memory in a flood.
-// Sequence: requests come faster than they end, each with its body.
-// Cause: no bound on how many are inside.
-func TestFullEntryRefuses(t *testing.T) {
+// Guards against an entry that runs out of memory when requests with their
+// bodies arrive faster than they complete. The fault was a missing limit on
+// the requests in progress.
+func TestRequestsBeyondMaxInProgressAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, fleet(&fakeAgent{script: func(r *fakeRun) error {
+		b := newTestEntry(t, newFakeFleet(&fakeAgent{script: func(r *fakeRun) error {
 			r.admit()
 			time.Sleep(5 * time.Second)
-			r.tokens(0, 1)
-			return r.end(okEnd(1))
+			r.sendTokens(0, 1)
+			return r.end(endOK(1))
 		}}), Limits{MaxInProgress: 1})
 		first := make(chan int, 1)
 		go func() { first <- chat(b, chatBodyText).Code }()
 		time.Sleep(time.Second)
-		wantFailure(t, chat(b, chatBodyText), http.StatusServiceUnavailable, request.NotRun, reasonBusy)
+		assertFailure(t, chat(b, chatBodyText), http.StatusServiceUnavailable, request.NotRun, reasonBusy)
 		if status := <-first; status != http.StatusOK {
-			t.Fatalf("the request inside got %d", status)
+			t.Fatalf("the request in progress got status %d", status)
 		}
 		if status := chat(b, chatBodyText).Code; status != http.StatusOK {
-			t.Fatalf("once there was room: %d", status)
+			t.Fatalf("status %d after the first request completed", status)
 		}
 	})
 }
--- a/entry/observe.go
+++ b/entry/observe.go
@@ -8,11 +8,11 @@
 	"github.com/briarturn/briarturn/slo"
 )
 
-// observe tells the service-level counts what became of the request. A plain
-// service has no tokens, and a request that failed through its caller's own
-// fault says nothing of the system.
-func (c *call) observe(f *request.Failure, now time.Time) {
-	if c.e.cfg.OnObservation == nil || c.body == nil || callersFault(f) {
+// reportObservation reports the outcome of the request for the service-level
+// objectives. It skips plain services, which have no tokens, and requests that
+// failed because of their caller.
+func (c *call) reportObservation(f *request.Failure, now time.Time) {
+	if c.e.cfg.OnObservation == nil || c.body == nil || isCallerFault(f) {
 		return
 	}
 	o := slo.Observation{
@@ -21,17 +21,17 @@
 		Failed:     f != nil,
 		InterToken: -1,
 	}
-	if !c.firstToken.IsZero() {
-		o.TTFT = c.firstToken.Sub(c.spec.Arrived)
+	if !c.firstTokenAt.IsZero() {
+		o.TTFT = c.firstTokenAt.Sub(c.spec.Arrived)
 	}
-	if gaps := c.output - 1; gaps > 0 {
-		o.InterToken = now.Sub(c.firstToken) / time.Duration(gaps)
+	if gaps := c.outputTokens - 1; gaps > 0 {
+		o.InterToken = now.Sub(c.firstTokenAt) / time.Duration(gaps)
 	}
 	c.e.cfg.OnObservation(o)
 }
 
-// callersFault reports whether a failure is due to the caller: a wrong request,
-// a limit of its workspace, or a caller that went away.
-func callersFault(f *request.Failure) bool {
+// isCallerFault reports whether a failure is due to the caller: an invalid
+// request, a limit of its workspace, or a disconnect.
+func isCallerFault(f *request.Failure) bool {
 	return f != nil && f.Status >= http.StatusBadRequest && f.Status < http.StatusInternalServerError
 }
--- a/entry/outcome.go
+++ b/entry/outcome.go
@@ -11,12 +11,12 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// done reports whether the caller has the whole answer.
-func (r *result) done() bool {
+// succeeded reports whether the caller has received the complete answer.
+func (r *result) succeeded() bool {
 	return r.end.GetCode() == wirepb.EndCode_END_OK && r.err == nil
 }
 
-// provedNotRun reports whether the attempt can't have begun to run.
+// provedNotRun reports whether the attempt has certainly not started to run.
 func (r *result) provedNotRun() bool {
 	switch {
 	case r.refuse != nil, !r.sent:
@@ -29,83 +29,84 @@
 	return !r.end.GetBegan()
 }
 
-// judgeEnd applies the table of safe retries to an attempt that has ended
-// without a whole answer. final tells whether f is the request's last word.
-func (c *call) judgeEnd(ctx context.Context, res result) (f *request.Failure, final bool) {
-	c.noteCertainty(res)
-	c.noteDeath(res)
+// handleFailedAttempt decides whether to retry an attempt that ended without a
+// complete answer. final reports whether the request fails with f.
+func (c *call) handleFailedAttempt(ctx context.Context, res result) (f *request.Failure, final bool) {
+	c.updateMayHaveRun(res)
+	c.recordEngineDeath(res)
 	if res.callerErr != nil {
-		return c.failure(statusClientClosed, reasonCancelled, "answer", "the caller went away or reads too slowly", 0), true
+		return c.newFailure(statusClientClosed, reasonCancelled, "answer", "the caller disconnected or reads too slowly", 0), true
 	}
 	if ctx.Err() != nil {
-		return c.ended(ctx, "attempt"), true
+		return c.contextFailure(ctx, "attempt"), true
 	}
-	f = c.describe(res)
-	verdict := request.DecideRetry(c.situation(res))
+	f = c.attemptFailure(res)
+	verdict := request.DecideRetry(c.attemptOutcome(res))
 	if verdict.Action == request.Fail {
 		return f, true
 	}
-	if verdict.Action == request.Resume && !c.out.resumable() {
+	if verdict.Action == request.Resume && !c.sink.resumable() {
 		return f, true
 	}
-	c.exclude = append(c.exclude, res.peer)
+	c.excluded = append(c.excluded, res.server)
 	if !res.sent && res.refuse == nil {
-		c.e.cfg.Servers.MarkSuspect(res.peer)
+		c.e.cfg.Servers.MarkSuspect(res.server)
 	}
 	if res.provedNotRun() {
 		c.refusals++
-		c.e.meters.refusals.Inc(1)
-		return f, c.givesUp()
+		c.e.metrics.refusals.Inc(1)
+		return f, c.shouldGiveUp()
 	}
-	if c.admitted >= c.e.limits.MaxAttempts || !c.e.cfg.Scheduler.AllowRetry(c.spec.Workspace) {
+	if c.admittedAttempts >= c.e.limits.MaxAttempts || !c.e.cfg.Scheduler.AllowRetry(c.spec.Workspace) {
 		return f, true
 	}
-	c.e.meters.retries.Inc(1)
-	if c.asm.NextSequence() > 0 {
-		c.e.meters.resumes.Inc(1)
+	c.e.metrics.retries.Inc(1)
+	if c.assembler.NextSequence() > 0 {
+		c.e.metrics.resumes.Inc(1)
 	}
 	return f, false
 }
 
-func (c *call) noteCertainty(res result) {
+func (c *call) updateMayHaveRun(res result) {
 	if !res.sent {
 		return
 	}
 	if res.provedNotRun() {
-		c.life.MarkNotRun(c.mayHaveRun)
+		c.lifecycle.MarkNotRun(c.mayHaveRun)
 		return
 	}
 	c.mayHaveRun = true
 }
 
-// noteDeath reports the fingerprint if the engine died under it. The agent names
-// the death as its own reports do: under two names a single death would count
-// twice and convict the innocent.
-func (c *call) noteDeath(res result) {
+// recordEngineDeath records the death of the engine that ran the prompt. The
+// agent uses the same death id here as in its own reports: with two ids a
+// single death would count twice and quarantine a harmless prompt.
+func (c *call) recordEngineDeath(res result) {
 	if res.end.GetDeath() == 0 || !res.end.GetBegan() || c.body == nil {
 		return
 	}
-	c.e.meters.count("entry.engine_deaths")
+	c.e.metrics.count("entry.engine_deaths")
 	c.e.cfg.Quarantine.RecordDeath(c.spec.Fingerprint, res.end.GetDeath(), time.Now())
 }
 
-func (c *call) situation(res result) request.AttemptOutcome {
+func (c *call) attemptOutcome(res result) request.AttemptOutcome {
 	code := res.end.GetCode()
 	status := res.end.GetStatus()
 	return request.AttemptOutcome{
 		Idempotent: c.spec.Idempotent,
 		Refused:    res.provedNotRun(),
 		Sent:       res.sent,
-		FirstByte:  c.asm.NextSequence() > 0 || c.out.started(),
+		FirstByte:  c.assembler.NextSequence() > 0 || c.sink.started(),
 		EngineDead: code == wirepb.EndCode_END_ENGINE_DIED,
-		Rejected: refusedForGood(res.refuse) ||
+		Rejected: isPermanentRefusal(res.refuse) ||
 			code == wirepb.EndCode_END_ENGINE_ERROR && status >= 400 && status < 500,
 		Deadline: code == wirepb.EndCode_END_DEADLINE,
 	}
 }
 
-// refusedForGood reports whether any other server would refuse as well.
-func refusedForGood(r *wirepb.Refuse) bool {
+// isPermanentRefusal reports whether every other server would refuse the
+// request as well.
+func isPermanentRefusal(r *wirepb.Refuse) bool {
 	switch r.GetCode() {
 	case wirepb.RefuseCode_REFUSE_BAD_REQUEST, wirepb.RefuseCode_REFUSE_QUARANTINED:
 		return true
@@ -113,29 +114,31 @@
 	return false
 }
 
-// ended is the failure of a request whose context has ended.
-func (c *call) ended(ctx context.Context, step string) *request.Failure {
+// contextFailure returns the failure of a request whose context has ended.
+func (c *call) contextFailure(ctx context.Context, step string) *request.Failure {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return c.failure(http.StatusGatewayTimeout, reasonDeadline, step, "the time limit has passed", 0)
+		return c.newFailure(http.StatusGatewayTimeout, reasonDeadline, step, "the time limit has passed", 0)
 	}
-	return c.failure(statusClientClosed, reasonCancelled, step, "the caller went away", 0)
+	return c.newFailure(statusClientClosed, reasonCancelled, step, "the caller disconnected", 0)
 }
 
-// failure makes a failure that says no more than is known.
-func (c *call) failure(status int, reason, step, message string, retry time.Duration) *request.Failure {
-	return &request.Failure{Code: c.life.FailureCode(), Reason: reason, Message: message,
+// newFailure returns a failure whose code is not_run only if the request has
+// certainly not run.
+func (c *call) newFailure(status int, reason, step, message string, retry time.Duration) *request.Failure {
+	return &request.Failure{Code: c.lifecycle.FailureCode(), Reason: reason, Message: message,
 		Status: status, RetryAfter: retry, Step: step}
 }
 
-// describe says what an attempt's end means to the caller, if it is the last.
-func (c *call) describe(res result) *request.Failure {
+// attemptFailure returns the failure that the caller receives if no attempt
+// follows res.
+func (c *call) attemptFailure(res result) *request.Failure {
 	if res.refuse != nil {
-		f := refusal(res.refuse, res.peer)
-		f.Code = c.life.FailureCode()
+		f := refusalFailure(res.refuse, res.server)
+		f.Code = c.lifecycle.FailureCode()
 		return f
 	}
-	f := c.failure(http.StatusBadGateway, reasonStreamBroken, "answer", "", 0)
-	f.Peer = res.peer
+	f := c.newFailure(http.StatusBadGateway, reasonStreamBroken, "answer", "", 0)
+	f.Peer = res.server
 	if res.err != nil {
 		f.Message = res.err.Error()
 	}
@@ -149,12 +152,12 @@
 		return f
 	}
 	if res.end != nil {
-		describeEnd(f, res.end)
+		applyEnd(f, res.end)
 	}
 	return f
 }
 
-func describeEnd(f *request.Failure, end *wirepb.End) {
+func applyEnd(f *request.Failure, end *wirepb.End) {
 	if f.Message == "" {
 		f.Message = end.GetDetail()
 	}
--- a/entry/page_test.go
+++ b/entry/page_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// docs/API.md explains every header that callers may send and every reason that
-// a failure may have.
-func TestPageExplainsReasonsAndHeaders(t *testing.T) {
+// Checks that docs/API.md documents every request header and every failure
+// reason.
+func TestAPIDocsCoverReasonsAndHeaders(t *testing.T) {
 	page, err := os.ReadFile("../docs/API.md")
 	if err != nil {
 		t.Fatal(err)
@@ -23,13 +23,13 @@
 				continue
 			}
 			if !strings.Contains(string(page), "`"+value+"`") {
-				t.Errorf("docs/API.md lacks %s, %s of %s", value, name, file)
+				t.Errorf("docs/API.md does not document %s (%s in %s)", value, name, file)
 			}
 		}
 	}
 }
 
-// stringConstants returns a file's constants of type string by name.
+// stringConstants returns the string constants of a file by name.
 func stringConstants(t *testing.T, file string) map[string]string {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, 0)
@@ -50,7 +50,7 @@
 		return true
 	})
 	if len(out) == 0 {
-		t.Fatalf("no constants in %s", file)
+		t.Fatalf("no string constants in %s", file)
 	}
 	return out
 }
--- a/entry/parse.go
+++ b/entry/parse.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// bytesPerToken is the estimate used until an engine reports.
+	// bytesPerToken is the estimate used until an engine reports its token count.
 	bytesPerToken = 4
-	// maxPrefixBlocks bounds the prefix hashes of a prompt: 64 KiB are enough
-	// to tell one shared preamble from another.
+	// maxPrefixBlocks is the maximum number of prefix hashes of a prompt; 64 KiB
+	// are enough to distinguish shared preambles.
 	maxPrefixBlocks = 64
 )
 
-// message is one chat message. Of its content only text is kept.
+// message is one chat message with text content.
 type message struct {
 	Role    string  `json:"role"`
 	Content content `json:"content"`
@@ -30,8 +30,8 @@
 // content is a string or a list of text parts.
 type content string
 
-// UnmarshalJSON implements json.Unmarshaler. It decodes straight from the
-// body's bytes, so that a prompt of megabytes is copied once.
+// UnmarshalJSON implements json.Unmarshaler. It decodes directly from the
+// body's bytes, so that a prompt of several megabytes is copied only once.
 func (c *content) UnmarshalJSON(b []byte) error {
 	if string(b) == "null" {
 		return nil
@@ -57,8 +57,9 @@
 	return nil
 }
 
-// unquote decodes a JSON string that the decoder has found valid. One without
-// escapes, as most megabytes are, needs no second pass of the decoder.
+// unquote decodes a JSON string that the decoder has already validated. A
+// string without escapes, as most large prompts are, needs no second pass of
+// the decoder.
 func unquote(b []byte, s *string) error {
 	if bytes.IndexByte(b, '\\') >= 0 {
 		return json.Unmarshal(b, s)
@@ -86,9 +87,9 @@
 	return nil
 }
 
-// chatBody holds the fields of a caller's body that the entry acts on. The body
-// itself goes to the engine unchanged.
-type chatBody struct {
+// requestBody holds the fields of a request body that the entry uses. The engine
+// receives the body itself, to which only withMaxTokens adds a field.
+type requestBody struct {
 	Model               string     `json:"model"`
 	Adapter             string     `json:"adapter"`
 	Messages            []message  `json:"messages"`
@@ -99,20 +100,20 @@
 	StreamOptions       struct {
 		IncludeUsage bool `json:"include_usage"`
 	} `json:"stream_options"`
-	// The fields below change the shape of the answer in ways that the answer
-	// assembly can't carry over a resumed stream. They are refused.
+	// The fields below change the format of the answer in ways that can't be
+	// preserved when a stream is resumed. Requests that use them are refused.
 	N         *int64          `json:"n"`
 	Tools     json.RawMessage `json:"tools"`
 	Functions json.RawMessage `json:"functions"`
 	Logprobs  json.RawMessage `json:"logprobs"`
 }
 
-// parseBody decodes a body and refuses what can't be served.
-func parseBody(kind request.Kind, raw []byte) (*chatBody, *request.Failure) {
+// parseBody decodes a body and refuses requests that can't be served.
+func parseBody(kind request.Kind, raw []byte) (*requestBody, *request.Failure) {
 	if !utf8.Valid(raw) {
 		return nil, badRequest(reasonBadUTF8, "the body is not valid UTF-8")
 	}
-	b := new(chatBody)
+	b := new(requestBody)
 	if err := json.Unmarshal(raw, b); err != nil {
 		return nil, badRequest(reasonBadJSON, "the body is not a valid request: "+err.Error())
 	}
@@ -125,28 +126,29 @@
 	if kind == request.KindCompletion && b.Prompt == "" {
 		return nil, badRequest(reasonBadRequest, "prompt is missing or empty")
 	}
-	if f := b.unsupported(); f != nil {
+	if f := b.checkSupported(); f != nil {
 		return nil, f
 	}
 	return b, nil
 }
 
-func (b *chatBody) unsupported() *request.Failure {
+func (b *requestBody) checkSupported() *request.Failure {
 	switch {
 	case b.N != nil && *b.N != 1:
 		return badRequest(reasonUnsupported, "n must be 1")
-	case given(b.Tools), given(b.Functions):
+	case isSet(b.Tools), isSet(b.Functions):
 		return badRequest(reasonUnsupported, "tools and functions are not supported")
-	case given(b.Logprobs) && string(b.Logprobs) != "false":
+	case isSet(b.Logprobs) && string(b.Logprobs) != "false":
 		return badRequest(reasonUnsupported, "logprobs is not supported")
 	}
 	return nil
 }
 
-func given(raw json.RawMessage) bool { return len(raw) > 0 && string(raw) != "null" }
+func isSet(raw json.RawMessage) bool { return len(raw) > 0 && string(raw) != "null" }
 
-// maxTokens returns the output bound: the caller's, or def, at most limit.
-func (b *chatBody) maxTokens(def, limit int64) (int64, *request.Failure) {
+// maxTokens returns the output limit in tokens: the caller's, which must not
+// exceed limit, or def, reduced to limit.
+func (b *requestBody) maxTokens(def, limit int64) (int64, *request.Failure) {
 	n := b.MaxCompletionTokens
 	if n == nil {
 		n = b.MaxTokens
@@ -163,8 +165,9 @@
 	return *n, nil
 }
 
-// pieces calls f with the parts of the prompt's text in order, joins included.
-func (b *chatBody) pieces(f func(string)) {
+// eachPart calls f with the parts of the prompt's text in order, including the
+// separators.
+func (b *requestBody) eachPart(f func(string)) {
 	if len(b.Messages) == 0 {
 		f(string(b.Prompt))
 		return
@@ -178,7 +181,7 @@
 }
 
 // text returns the canonical prompt text: the contents joined by "\n".
-func (b *chatBody) text() string {
+func (b *requestBody) text() string {
 	if len(b.Messages) == 0 {
 		return string(b.Prompt)
 	}
@@ -186,24 +189,25 @@
 		return string(b.Messages[0].Content)
 	}
 	var text strings.Builder
-	b.pieces(func(s string) { text.WriteString(s) })
+	b.eachPart(func(s string) { text.WriteString(s) })
 	return text.String()
 }
 
-func (b *chatBody) promptTokens() int64 {
+func (b *requestBody) promptTokens() int64 {
 	size := 0
-	b.pieces(func(s string) { size += len(s) })
-	return tokensOf(size)
+	b.eachPart(func(s string) { size += len(s) })
+	return estimateTokens(size)
 }
 
-// tokensOf estimates the tokens of so many bytes of text.
-func tokensOf(bytes int) int64 {
+// estimateTokens estimates the number of tokens in the given number of bytes
+// of text.
+func estimateTokens(bytes int) int64 {
 	return int64((bytes + bytesPerToken - 1) / bytesPerToken)
 }
 
-// fingerprint identifies the content for the quarantine. Sampling settings are
-// left out: a prompt that kills an engine does so at any temperature.
-func (b *chatBody) fingerprint() uint64 {
+// fingerprint identifies the content for the quarantine. It excludes sampling
+// settings, since a prompt that kills an engine does so at any temperature.
+func (b *requestBody) fingerprint() uint64 {
 	d := xxhash.New()
 	writeField(d, b.Model)
 	writeField(d, b.Adapter)
@@ -215,35 +219,35 @@
 	return d.Sum64()
 }
 
-// writeField adds a field and its end, so that "ab","c" differs from "a","bc".
-// Valid UTF-8 has no 0xff byte.
+// writeField hashes a field and a terminator, so that "ab","c" differs from
+// "a","bc". Valid UTF-8 contains no 0xff byte.
 func writeField(d *xxhash.Digest, s string) {
 	_, _ = d.WriteString(s)
 	_, _ = d.Write([]byte{0xff})
 }
 
-// prefix returns the hashes by which engines name the prompt's first blocks.
-func (b *chatBody) prefix() []uint64 {
-	return engine.AppendPrefixHashes(nil, b.head(maxPrefixBlocks*engine.PrefixBlockBytes), maxPrefixBlocks)
+// prefixHashes returns the hashes that engines use for the prompt's first blocks.
+func (b *requestBody) prefixHashes() []uint64 {
+	return engine.AppendPrefixHashes(nil, b.leadingText(maxPrefixBlocks*engine.PrefixBlockBytes), maxPrefixBlocks)
 }
 
-// head returns at most so many bytes from the beginning of the prompt's text.
-func (b *chatBody) head(most int) string {
+// leadingText returns up to maxBytes bytes from the start of the prompt's text.
+func (b *requestBody) leadingText(maxBytes int) string {
 	if len(b.Messages) == 0 {
-		return string(b.Prompt[:min(most, len(b.Prompt))])
+		return string(b.Prompt[:min(maxBytes, len(b.Prompt))])
 	}
-	if first := b.Messages[0].Content; len(first) >= most {
-		return string(first[:most])
+	if first := b.Messages[0].Content; len(first) >= maxBytes {
+		return string(first[:maxBytes])
 	}
 	var text strings.Builder
-	b.pieces(func(s string) { text.WriteString(s[:min(len(s), most-text.Len())]) })
+	b.eachPart(func(s string) { text.WriteString(s[:min(len(s), maxBytes-text.Len())]) })
 	return text.String()
 }
 
-// withMaxTokens states the output bound at the end of a valid body, where it
-// prevails over any other spelling of the field that the engine may read
-// differently: its own default must not exceed what was reserved. The body's
-// buffer is used if it has room.
+// withMaxTokens appends the output limit to a valid body. As the last field it
+// overrides any other spelling of the field, so that the engine's limit can't
+// exceed the reserved memory. The body's buffer is reused if it has the
+// capacity.
 func withMaxTokens(raw []byte, n int64) []byte {
 	end := bytes.LastIndexByte(raw, '}')
 	return fmt.Appendf(raw[:end], `,"max_tokens":%d}`, n)
--- a/entry/path_test.go
+++ b/entry/path_test.go
@@ -31,18 +31,19 @@
 	"github.com/briarturn/briarturn/workspace"
 )
 
-// realPath is an entry before real agents and stand-in engines, over TCP.
-type realPath struct {
+// testStack is an entry with real agents and stand-in engines, connected over
+// TCP.
+type testStack struct {
 	entry   *Entry
 	url     string
 	engines []*standin.Server
 	agents  []*agent.Agent
 }
 
-func newPath(t testing.TB, engines int, cfg standin.Config) *realPath {
+func newTestStack(t testing.TB, engines int, cfg standin.Config) *testStack {
 	t.Helper()
 	cfg.Models = []string{"m"}
-	p := &realPath{}
+	p := &testStack{}
 	table := backend.NewTable(backend.TableOptions{})
 	for i := range engines {
 		p.addEngine(t, fmt.Sprintf("e%d", i), cfg, table)
@@ -53,7 +54,7 @@
 	}
 	dialer := wire.NewDialer(wire.Options{})
 	scheduler := workspace.NewScheduler(workspace.Options{})
-	openWindow(scheduler)
+	removeCapacityLimits(scheduler)
 	p.entry, err = New(Config{Name: "en1", Incarnation: 1, Servers: table, Policy: policy,
 		Scheduler: scheduler, AgentClient: dialer, Catalog: fakeCatalog{},
 		Quarantine: quarantine.NewTracker(quarantine.DefaultOptions), Metrics: metrics.NewRegistry(), Log: quiet.Logger()})
@@ -69,7 +70,7 @@
 	return p
 }
 
-func (p *realPath) addEngine(t testing.TB, name string, cfg standin.Config, table *backend.Table) {
+func (p *testStack) addEngine(t testing.TB, name string, cfg standin.Config, table *backend.Table) {
 	t.Helper()
 	eng, address, err := standin.Start(cfg)
 	if err != nil {
@@ -103,8 +104,8 @@
 		"messages": []map[string]string{{"role": "user", "content": prompt}}})
 }
 
-// ask sends one request that isn't streamed and checks its answer.
-func (p *realPath) ask(prompt string, tokens int) error {
+// request sends one request that isn't streamed and checks its answer.
+func (p *testStack) request(prompt string, tokens int) error {
 	resp, err := http.Post(p.url+"/v1/chat/completions", "application/json", bytes.NewReader(chatJSON(prompt, tokens, false)))
 	if err != nil {
 		return err
@@ -130,8 +131,8 @@
 	return cfg
 }
 
-func TestRealPathShortAndLong(t *testing.T) {
-	p := newPath(t, 4, fastEngine())
+func TestStackShortAndLongPrompts(t *testing.T) {
+	p := newTestStack(t, 4, fastEngine())
 	var wg sync.WaitGroup
 	for i := range 20 {
 		prompt := strings.Repeat(fmt.Sprintf("prompt %d ", i), 400)
@@ -139,7 +140,7 @@
 			prompt = strings.Repeat("a whole competition ", 20_000) // 100,000 tokens on engines of 40,000
 		}
 		wg.Go(func() {
-			if err := p.ask(prompt, 40); err != nil {
+			if err := p.request(prompt, 40); err != nil {
 				t.Errorf("prompt %d: %v", i, err)
 			}
 		})
@@ -148,7 +149,7 @@
 	if err := p.entry.Drain(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if n := p.entry.meters.groups.Count(); n != 1 {
+	if n := p.entry.metrics.groups.Count(); n != 1 {
 		t.Errorf("%d groups formed", n)
 	}
 	for i, a := range p.agents {
@@ -163,17 +164,17 @@
 	}
 }
 
-// Symptom: answers are lost or repeat themselves when an engine dies.
-// Sequence: an engine dies while it generates ten answers; it comes back.
-// Cause: each must go on elsewhere behind what its caller has.
-func TestRealPathEngineDies(t *testing.T) {
+// Guards against lost or repeated text when an engine dies while it generates
+// several of ten answers, and later restarts. Each answer must continue on
+// another engine after the text that its caller has received.
+func TestStackEngineDeathIsRecovered(t *testing.T) {
 	cfg := fastEngine()
 	cfg.DecodeBase = 3 * time.Millisecond
-	p := newPath(t, 3, cfg)
+	p := newTestStack(t, 3, cfg)
 	var wg sync.WaitGroup
 	for i := range 10 {
 		wg.Go(func() {
-			if err := p.ask(fmt.Sprintf("prompt %d", i), 100); err != nil {
+			if err := p.request(fmt.Sprintf("prompt %d", i), 100); err != nil {
 				t.Errorf("prompt %d: %v", i, err)
 			}
 		})
@@ -184,15 +185,16 @@
 	}
 	p.engines[slices.IndexFunc(p.engines, busy)].DieFor(100 * time.Millisecond)
 	wg.Wait()
-	if p.entry.meters.retries.Count() == 0 {
-		t.Error("the death met no request")
+	if p.entry.metrics.retries.Count() == 0 {
+		t.Error("no request was retried after the engine died")
 	}
 }
 
-// BenchmarkAddedByPath sends one short request through entry, agent and engine
-// and one straight to the same engine, in turns, and reports quantiles of both.
+// BenchmarkAddedByPath alternates between a short request through entry, agent
+// and engine and one directly to the same engine, and reports quantiles of
+// both.
 func BenchmarkAddedByPath(b *testing.B) {
-	p := newPath(b, 1, fastEngine())
+	p := newTestStack(b, 1, fastEngine())
 	body := chatJSON("a short notice", 1, true)
 	ask := func(url string) time.Duration {
 		begin := time.Now()
@@ -218,19 +220,19 @@
 	}
 }
 
-// BenchmarkOpenStream measures the heap and stack of streams that are open and
-// idle, entry, agent end and caller together, over net.Pipe between entry and
-// agent.
+// BenchmarkOpenStream measures the heap and stack of open, idle streams, for
+// the entry, the fake agent and the caller together. Entry and agent are
+// connected over net.Pipe.
 func BenchmarkOpenStream(b *testing.B) {
 	release := make(chan struct{})
 	hold := &fakeAgent{script: func(r *fakeRun) error {
 		r.admit()
-		r.tokens(0, 1)
+		r.sendTokens(0, 1)
 		<-release
-		return r.end(okEnd(1))
+		return r.end(endOK(1))
 	}}
-	t := newBench(b, fleet(hold), Limits{})
-	openWindow(t.scheduler)
+	t := newTestEntry(b, newFakeFleet(hold), Limits{})
+	removeCapacityLimits(t.scheduler)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -254,10 +256,10 @@
 	b.ReportMetric(float64(goroutines)/streams, "goroutines/stream")
 }
 
-// BenchmarkPathParallel measures requests/s through one entry at 20 requests in
-// progress a processor.
+// BenchmarkPathParallel measures requests/s through one entry with 20 requests in
+// progress per processor.
 func BenchmarkPathParallel(b *testing.B) {
-	p := newPath(b, 4, fastEngine())
+	p := newTestStack(b, 4, fastEngine())
 	body := chatJSON("a short notice", 1, true)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1000}}
 	b.SetParallelism(20)
@@ -273,46 +275,45 @@
 		}
 	})
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "requests/s")
-	b.ReportMetric(float64(p.entry.meters.failed.Count()), "failed")
+	b.ReportMetric(float64(p.entry.metrics.failed.Count()), "failed")
 }
 
-// Symptom: a pool that names a routing policy is routed by the entry's.
-// Sequence: a request names the pool; the entry's policy would take the first
-// server, the pool's the last.
-// Cause: one policy for all pools.
-func TestPoolsOwnPolicyChooses(t *testing.T) {
+// Guards against an entry that ignores a pool's own routing policy. The
+// entry's policy would choose the first server, the pool's policy the last
+// one. The fault was a single policy for all pools.
+func TestPoolPolicyOverridesEntryPolicy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := fleet(&fakeAgent{script: answers(1)}, &fakeAgent{script: answers(2)})
-		b := newBench(t, f, Limits{})
-		wantText(t, chat(b, `{"model":"m","messages":[{"role":"user","content":"x"}]}`), tokenText(1))
-		wantText(t, chat(b, `{"model":"own-pool","messages":[{"role":"user","content":"x"}]}`), tokenText(2))
+		f := newFakeFleet(&fakeAgent{script: respondTokens(1)}, &fakeAgent{script: respondTokens(2)})
+		b := newTestEntry(t, f, Limits{})
+		assertText(t, chat(b, `{"model":"m","messages":[{"role":"user","content":"x"}]}`), tokenText(1))
+		assertText(t, chat(b, `{"model":"own-pool","messages":[{"role":"user","content":"x"}]}`), tokenText(2))
 	})
 }
 
-// Symptom: a workspace's time limits and service classes are declared and its
-// requests get the entry's; or a caller buys more time than its workspace may.
-// Sequence: requests with and without the headers, of workspaces with and
-// without limits, at an entry that takes ten minutes at most.
-// Cause: the entry asks of a policy only whether there is one.
-func TestTimeLimitAndPriorityAreTheWorkspaces(t *testing.T) {
+// Guards against requests that get the entry's time limits although their
+// workspace declares limits and service classes, and against a caller that
+// gets more time than its workspace allows. The requests have different
+// headers and workspaces; the entry's maximum is ten minutes. The fault was
+// that the entry only checked whether a workspace policy exists.
+func TestWorkspaceSetsTimeLimitAndPriority(t *testing.T) {
 	for name, c := range map[string]struct {
 		headers  []string
 		timeout  time.Duration // 0: refused
 		priority int32
 	}{
-		"the entry's default":         {nil, 90 * time.Second, 0},
-		"the entry's most":            {[]string{headerTimeout, "600000"}, 10 * time.Minute, 0},
-		"the workspace's default":     {[]string{headerWorkspace, "limited"}, time.Minute, 0},
-		"the workspace's most":        {[]string{headerWorkspace, "limited", headerTimeout, "300000"}, 5 * time.Minute, 0},
-		"more than the workspace's":   {[]string{headerWorkspace, "limited", headerTimeout, "300001"}, 0, 0},
-		"the class's":                 {[]string{headerWorkspace, "limited", headerServiceClass, "batch"}, 3 * time.Minute, 50},
-		"a class without a timeout":   {[]string{headerWorkspace, "limited", headerServiceClass, "plain"}, time.Minute, 10},
-		"the caller's before a class": {[]string{headerWorkspace, "limited", headerServiceClass, "batch", headerTimeout, "1000"}, time.Second, 50},
-		"a class of no such name":     {[]string{headerWorkspace, "limited", headerServiceClass, "bulk"}, 0, 0},
-		"a class of another":          {[]string{headerServiceClass, "batch"}, 0, 0},
+		"the entry's default":                    {nil, 90 * time.Second, 0},
+		"the entry's maximum":                    {[]string{headerTimeout, "600000"}, 10 * time.Minute, 0},
+		"the workspace's default":                {[]string{headerWorkspace, "limited"}, time.Minute, 0},
+		"the workspace's maximum":                {[]string{headerWorkspace, "limited", headerTimeout, "300000"}, 5 * time.Minute, 0},
+		"above the workspace's maximum":          {[]string{headerWorkspace, "limited", headerTimeout, "300001"}, 0, 0},
+		"the class's default":                    {[]string{headerWorkspace, "limited", headerServiceClass, "batch"}, 3 * time.Minute, 50},
+		"a class without a timeout":              {[]string{headerWorkspace, "limited", headerServiceClass, "plain"}, time.Minute, 10},
+		"the caller's limit overrides the class": {[]string{headerWorkspace, "limited", headerServiceClass, "batch", headerTimeout, "1000"}, time.Second, 50},
+		"an unknown class":                       {[]string{headerWorkspace, "limited", headerServiceClass, "bulk"}, 0, 0},
+		"a class of another workspace":           {[]string{headerServiceClass, "batch"}, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, fleet(), Limits{DefaultTimeout: 90 * time.Second, MaxTimeout: 10 * time.Minute})
+			b := newTestEntry(t, newFakeFleet(), Limits{DefaultTimeout: 90 * time.Second, MaxTimeout: 10 * time.Minute})
 			r := httptest.NewRequest(http.MethodPost, "/v1/chat/completions", nil)
 			for i := 0; i < len(c.headers); i += 2 {
 				r.Header.Set(c.headers[i], c.headers[i+1])
@@ -328,7 +329,7 @@
 			if f != nil {
 				t.Fatal(f)
 			}
-			got := b.newCall(spec, nil, Pool{}).item()
+			got := b.newCall(spec, nil, Pool{}).queueItem()
 			if limit := got.Deadline.Sub(arrived); limit != c.timeout || got.Priority != c.priority {
 				t.Errorf("limit %v, priority %d; want %v, %d", limit, got.Priority, c.timeout, c.priority)
 			}
@@ -336,11 +337,11 @@
 	}
 }
 
-// Symptom: a workspace that may ask for more time than its entry has requests
-// that outlive the entry's drain.
-// Cause: the workspace's limits taken without the entry's.
-func TestEntryBoundsTheWorkspacesTime(t *testing.T) {
-	b := newBench(t, fleet(), Limits{DefaultTimeout: time.Second, MaxTimeout: 30 * time.Second})
+// Guards against requests that outlast the drain of the entry because the
+// workspace's maximum timeout exceeds the entry's. The fault was that the
+// workspace's limits were applied without the entry's.
+func TestEntryMaxTimeoutBoundsWorkspace(t *testing.T) {
+	b := newTestEntry(t, newFakeFleet(), Limits{DefaultTimeout: time.Second, MaxTimeout: 30 * time.Second})
 	r := httptest.NewRequest(http.MethodPost, "/v1/chat/completions", nil)
 	r.Header.Set(headerWorkspace, "limited")
 	arrived := time.Now()
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -12,38 +12,39 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// errBadChunk: a chunk of an engine's answer is not what its API promises.
+// errBadChunk reports that a chunk or head of an answer doesn't conform to the
+// engine's API.
 const errBadChunk = errors.ConstError("malformed chunk")
 
-// callerError says that the caller could not be given its answer: it went away,
-// or reads too slowly.
+// callerError reports that the answer could not be delivered because the caller
+// disconnected or reads too slowly.
 type callerError struct{ err error }
 
 func (c *callerError) Error() string { return "caller: " + c.err.Error() }
 func (c *callerError) Unwrap() error { return c.err }
 
-// sink gives one answer to its caller, in whatever form it asked for.
+// sink writes one answer to its caller in the requested format.
 type sink interface {
 	head(*wirepb.Head) error
-	// chunk takes the next chunk in order.
+	// chunk accepts the next chunk in sequence.
 	chunk(data []byte) error
-	// finish ends a whole answer.
+	// finish completes the answer.
 	finish(end *wirepb.End) error
-	// fail ends with a failure, in the form that still is possible.
+	// fail reports a failure in the form that is still possible.
 	fail(f *request.Failure)
-	// started reports whether the caller may have a byte.
+	// started reports whether the caller may have received part of the answer.
 	started() bool
-	// record returns the answer as a claim's record keeps it.
-	record() recorded
-	// replay gives a recorded answer.
-	replay(a recorded) error
-	// prior returns the text given so far, for a resume.
+	// record returns the answer as stored in a claim's record.
+	record() recordedAnswer
+	// replay writes a recorded answer.
+	replay(a recordedAnswer) error
+	// prior returns the text received so far, which a resumed attempt needs.
 	prior() []byte
-	// resumable reports whether a broken answer can be continued elsewhere.
+	// resumable reports whether another server can continue a broken answer.
 	resumable() bool
 }
 
-// chunkJSON is the part of an engine's chunk that the entry reads.
+// chunkJSON holds the fields of an engine's chunk that the entry reads.
 type chunkJSON struct {
 	ID      string `json:"id"`
 	Created int64  `json:"created"`
@@ -69,20 +70,20 @@
 	CachedTokens uint64 `json:"cached_tokens"`
 }
 
-// answer accumulates what chunks say. Its text is what a resume needs, and what
-// an answer that isn't streamed consists of.
-type answer struct {
-	c       *call
-	id      string
-	created int64
-	model   string
-	text    strings.Builder
-	reason  string
-	usage   *usageJSON
+// answerBuilder accumulates the content of the chunks. A resumed attempt needs
+// its text, and a response that isn't streamed is built from it.
+type answerBuilder struct {
+	c            *call
+	id           string
+	created      int64
+	model        string
+	text         strings.Builder
+	finishReason string
+	usage        *usageJSON
 }
 
-// add reads one chunk. It reports whether the chunk carries usage alone.
-func (a *answer) add(data []byte) (usageOnly bool, err error) {
+// addChunk adds one chunk. It reports whether the chunk contains only usage.
+func (a *answerBuilder) addChunk(data []byte) (usageOnly bool, err error) {
 	var m chunkJSON
 	if err := json.Unmarshal(data, &m); err != nil {
 		return false, errors.Annotatef(errBadChunk, "%v", err)
@@ -94,7 +95,7 @@
 		a.text.WriteString(m.Choices[i].Delta.Content)
 		a.text.WriteString(m.Choices[i].Text)
 		if r := m.Choices[i].FinishReason; r != nil {
-			a.reason = *r
+			a.finishReason = *r
 		}
 	}
 	if m.Usage != nil {
@@ -103,12 +104,12 @@
 	return m.Usage != nil && len(m.Choices) == 0, nil
 }
 
-func (a *answer) prior() []byte { return []byte(a.text.String()) }
+func (a *answerBuilder) prior() []byte { return []byte(a.text.String()) }
 
-func (a *answer) resumable() bool { return true }
+func (a *answerBuilder) resumable() bool { return true }
 
-// setUsage fills the usage from the agent's End where the engine sent none.
-func (a *answer) setUsage(end *wirepb.End) {
+// setUsage takes the usage from the agent's End if the engine sent none.
+func (a *answerBuilder) setUsage(end *wirepb.End) {
 	if a.usage != nil {
 		return
 	}
@@ -144,12 +145,12 @@
 	Usage   *usageJSON   `json:"usage,omitempty"`
 }
 
-// whole returns the answer as one response.
-func (a *answer) whole() []byte {
-	out := a.shell("chat.completion", "text_completion")
+// response encodes the answer as one response.
+func (a *answerBuilder) response() []byte {
+	out := a.envelope("chat.completion", "text_completion")
 	choice := choiceJSON{}
-	if a.reason != "" {
-		choice.FinishReason = &a.reason
+	if a.finishReason != "" {
+		choice.FinishReason = &a.finishReason
 	}
 	text := a.text.String()
 	if a.c.spec.Kind == request.KindChat {
@@ -162,15 +163,15 @@
 	return marshal(out)
 }
 
-// usageChunk returns the last chunk of a stream whose caller asked for usage.
-func (a *answer) usageChunk() []byte {
-	out := a.shell("chat.completion.chunk", "text_completion")
+// usageChunk returns the final chunk of a stream whose caller requested usage.
+func (a *answerBuilder) usageChunk() []byte {
+	out := a.envelope("chat.completion.chunk", "text_completion")
 	out.Choices = []choiceJSON{}
 	out.Usage = a.usage
 	return marshal(out)
 }
 
-func (a *answer) shell(chat, completion string) completionJSON {
+func (a *answerBuilder) envelope(chat, completion string) completionJSON {
 	out := completionJSON{ID: a.id, Object: completion, Created: a.created, Model: a.model}
 	if a.c.spec.Kind == request.KindChat {
 		out.Object = chat
@@ -186,36 +187,36 @@
 
 func marshal(v any) []byte {
 	data, err := json.Marshal(v)
-	if err != nil { // plain structs of strings and numbers: cannot fail
+	if err != nil { // can't fail: plain structs and maps of strings and numbers
 		panic(err)
 	}
 	return data
 }
 
-func (a *answer) record() recorded {
-	return recorded{status: http.StatusOK, contentType: "application/json", body: a.whole()}
+func (a *answerBuilder) record() recordedAnswer {
+	return recordedAnswer{status: http.StatusOK, contentType: "application/json", body: a.response()}
 }
 
-// writer writes to a caller with a deadline on each write.
+// writer writes to a caller with a deadline for each write.
 //
-// A caller that stops reading without closing its connection fills the socket's
-// buffer; a write without a deadline would then block until the time limit and
-// hold the engine's memory with it.
+// If a caller stops reading without closing its connection, the socket buffer
+// fills up. Without a deadline the write would block until the request's time
+// limit and the engine's memory would stay in use.
 type writer struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	timeout time.Duration
-	begun   bool
+	w           http.ResponseWriter
+	control     *http.ResponseController
+	timeout     time.Duration
+	bodyStarted bool
 }
 
 func newWriter(w http.ResponseWriter, timeout time.Duration) writer {
 	return writer{w: w, control: http.NewResponseController(w), timeout: timeout}
 }
 
-func (w *writer) started() bool { return w.begun }
+func (w *writer) started() bool { return w.bodyStarted }
 
 func (w *writer) write(parts ...[]byte) error {
-	w.begun = true
+	w.bodyStarted = true
 	_ = w.control.SetWriteDeadline(time.Now().Add(w.timeout))
 	for _, p := range parts {
 		if _, err := w.w.Write(p); err != nil {
@@ -232,44 +233,44 @@
 	return nil
 }
 
-// wholeSink gives the answer as one response.
-type wholeSink struct {
-	answer
+// bufferedSink writes the answer as one response.
+type bufferedSink struct {
+	answerBuilder
 	writer
 }
 
-func newWholeSink(w http.ResponseWriter, c *call, timeout time.Duration) *wholeSink {
-	return &wholeSink{answer: answer{c: c}, writer: newWriter(w, timeout)}
+func newBufferedSink(w http.ResponseWriter, c *call, timeout time.Duration) *bufferedSink {
+	return &bufferedSink{answerBuilder: answerBuilder{c: c}, writer: newWriter(w, timeout)}
 }
 
-func (s *wholeSink) head(*wirepb.Head) error { return nil }
+func (s *bufferedSink) head(*wirepb.Head) error { return nil }
 
-func (s *wholeSink) chunk(data []byte) error {
-	_, err := s.add(data)
+func (s *bufferedSink) chunk(data []byte) error {
+	_, err := s.addChunk(data)
 	return err
 }
 
-func (s *wholeSink) finish(end *wirepb.End) error {
+func (s *bufferedSink) finish(end *wirepb.End) error {
 	s.setUsage(end)
 	return s.replay(s.record())
 }
 
-func (s *wholeSink) replay(a recorded) error {
+func (s *bufferedSink) replay(a recordedAnswer) error {
 	s.w.Header().Set("Content-Type", a.contentType)
 	s.w.WriteHeader(a.status)
 	return s.write(a.body, []byte("\n"))
 }
 
-func (s *wholeSink) fail(f *request.Failure) {
-	// Once begun, writing to the caller is what failed.
-	if !s.begun {
+func (s *bufferedSink) fail(f *request.Failure) {
+	// If the body was started, the failure is the write to the caller.
+	if !s.bodyStarted {
 		writeFailure(s.w, f, s.c.spec.ID)
 	}
 }
 
-// streamSink gives the answer as server-sent events.
+// streamSink writes the answer as server-sent events.
 type streamSink struct {
-	answer
+	answerBuilder
 	writer
 }
 
@@ -280,13 +281,13 @@
 )
 
 func newStreamSink(w http.ResponseWriter, c *call, timeout time.Duration) *streamSink {
-	return &streamSink{answer: answer{c: c}, writer: newWriter(w, timeout)}
+	return &streamSink{answerBuilder: answerBuilder{c: c}, writer: newWriter(w, timeout)}
 }
 
 func (s *streamSink) head(*wirepb.Head) error { return nil }
 
 func (s *streamSink) chunk(data []byte) error {
-	usageOnly, err := s.add(data)
+	usageOnly, err := s.addChunk(data)
 	if err != nil {
 		return err
 	}
@@ -297,17 +298,17 @@
 }
 
 func (s *streamSink) event(data []byte) error {
-	s.begin()
+	s.writeHeader()
 	if err := s.write(sseData, data, sseEnd); err != nil {
 		return err
 	}
 	return s.flush()
 }
 
-// begin writes the header. It comes with the first event, so that a failure
-// before it still has an HTTP status of its own.
-func (s *streamSink) begin() {
-	if s.begun {
+// writeHeader writes the response header. It is called with the first event,
+// so that an earlier failure is still reported with its own HTTP status.
+func (s *streamSink) writeHeader() {
+	if s.bodyStarted {
 		return
 	}
 	h := s.w.Header()
@@ -324,15 +325,15 @@
 		}
 	}
 	s.setUsage(end)
-	s.begin()
+	s.writeHeader()
 	if err := s.write(sseDone); err != nil {
 		return err
 	}
 	return s.flush()
 }
 
-// replay gives a recorded answer as one chunk.
-func (s *streamSink) replay(a recorded) error {
+// replay writes a recorded answer as one chunk.
+func (s *streamSink) replay(a recordedAnswer) error {
 	var m completionJSON
 	if err := json.Unmarshal(a.body, &m); err != nil {
 		return errors.Annotate(err, "step replay")
@@ -360,10 +361,10 @@
 	return s.flush()
 }
 
-// fail ends a begun stream with an error event and without [DONE], so that a
-// cut answer can't be taken for a whole one.
+// fail ends a started stream with an error event and without [DONE], so that the
+// caller can't mistake a truncated answer for a complete one.
 func (s *streamSink) fail(f *request.Failure) {
-	if !s.begun {
+	if !s.bodyStarted {
 		writeFailure(s.w, f, s.c.spec.ID)
 		return
 	}
--- a/entry/service.go
+++ b/entry/service.go
@@ -13,7 +13,7 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// service passes a call on to a plain service.
+// service forwards a call to a plain service.
 func (e *Entry) service(w http.ResponseWriter, r *http.Request, arrived time.Time) {
 	c, f := e.readService(w, r, arrived)
 	if f != nil {
@@ -22,11 +22,11 @@
 	}
 	w.Header().Set(headerRequestID, c.spec.ID)
 	out := &serviceSink{writer: newWriter(w, e.limits.WriteTimeout), c: c}
-	c.out = out
-	c.live(r.Context())
-	if out.cut {
-		// The response must not end as a whole one does. This breaks the
-		// caller's connection, as the server's own handlers do.
+	c.sink = out
+	c.execute(r.Context())
+	if out.aborted {
+		// The response must not look complete. This panic makes net/http abort
+		// the caller's connection.
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -35,7 +35,7 @@
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, servicesPrefix), "/")
 	if len(name) > maxNameBytes || !e.cfg.Catalog.Service(name) {
 		return nil, notRun(http.StatusNotFound, reasonUnknownService, "read",
-			fmt.Sprintf("there is no service %q", clip(name)), 0)
+			fmt.Sprintf("there is no service %q", truncate(name)), 0)
 	}
 	spec, f := e.readSpec(r, request.KindService, arrived)
 	if f != nil {
@@ -50,16 +50,17 @@
 	if !strings.HasPrefix(spec.Path, "/") {
 		spec.Path = "/" + spec.Path
 	}
-	spec.Headers = passedHeaders(r.Header)
-	spec.Idempotent = spec.Idempotent && repeatable(r)
-	spec.PromptTokens = tokensOf(len(spec.Body))
+	spec.Headers = forwardedHeaders(r.Header)
+	spec.Idempotent = spec.Idempotent && idempotentByDefault(r)
+	spec.PromptTokens = estimateTokens(len(spec.Body))
 	spec.Fingerprint = serviceFingerprint(spec)
 	return e.newCall(spec, nil, Pool{Name: name}), nil
 }
 
-// repeatable reports whether a call may be repeated if it isn't marked: by its
-// method, as HTTP defines it, unless the caller says otherwise.
-func repeatable(r *http.Request) bool {
+// idempotentByDefault reports whether a call without a true X-Non-Idempotent
+// header may be retried: POST and PATCH calls may not, as HTTP defines these
+// methods, unless the caller sets the header to false.
+func idempotentByDefault(r *http.Request) bool {
 	switch r.Method {
 	case http.MethodPost, http.MethodPatch:
 		return strings.EqualFold(r.Header.Get(headerNonIdempotent), "false")
@@ -76,32 +77,32 @@
 	return d.Sum64()
 }
 
-// hopHeaders are those of one connection, and those that the entry acts on
-// itself. They aren't passed on.
-var hopHeaders = map[string]bool{
+// droppedHeaders are the hop-by-hop headers and the headers that the entry
+// interprets itself. They aren't forwarded.
+var droppedHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
 	"Accept-Encoding": true, "Expect": true, headerTimeout: true, headerNonIdempotent: true,
 	headerFirstSend: true, headerServiceClass: true,
 }
 
-func passedHeaders(h http.Header) map[string]string {
+func forwardedHeaders(h http.Header) map[string]string {
 	out := make(map[string]string, len(h))
 	for name, values := range h {
-		if !hopHeaders[name] {
+		if !droppedHeaders[name] {
 			out[name] = strings.Join(values, ", ")
 		}
 	}
 	return out
 }
 
-// serviceSink passes a plain service's answer through.
+// serviceSink forwards a plain service's response to the caller.
 type serviceSink struct {
 	writer
-	c      *call
-	status int
-	kept   bytes.Buffer // for the claim's record, bounded
-	cut    bool
+	c            *call
+	status       int
+	recordedBody bytes.Buffer // start of the body, for the claim's record; bounded
+	aborted      bool
 }
 
 func (s *serviceSink) head(h *wirepb.Head) error {
@@ -110,7 +111,7 @@
 		return errBadChunk
 	}
 	for _, kv := range h.GetHeaders() {
-		if name := http.CanonicalHeaderKey(kv.GetName()); !hopHeaders[name] {
+		if name := http.CanonicalHeaderKey(kv.GetName()); !droppedHeaders[name] {
 			s.w.Header().Set(name, kv.GetValue())
 		}
 	}
@@ -118,9 +119,9 @@
 }
 
 func (s *serviceSink) chunk(data []byte) error {
-	s.begin()
-	if s.kept.Len() <= maxRecordedAnswer {
-		s.kept.Write(data)
+	s.writeHeader()
+	if s.recordedBody.Len() <= maxRecordedAnswer {
+		s.recordedBody.Write(data)
 	}
 	if err := s.write(data); err != nil {
 		return err
@@ -128,11 +129,11 @@
 	return s.flush()
 }
 
-func (s *serviceSink) begin() {
-	if s.begun {
+func (s *serviceSink) writeHeader() {
+	if s.bodyStarted {
 		return
 	}
-	s.begun = true
+	s.bodyStarted = true
 	if s.status == 0 {
 		s.status = http.StatusOK
 	}
@@ -140,39 +141,41 @@
 }
 
 func (s *serviceSink) finish(*wirepb.End) error {
-	s.begin()
+	s.writeHeader()
 	return nil
 }
 
 func (s *serviceSink) fail(f *request.Failure) {
-	if s.begun {
-		s.cut = true
+	if s.bodyStarted {
+		s.aborted = true
 		return
 	}
-	// A head that was taken in before the failure isn't the answer's.
+	// A head that was received before the failure doesn't belong to this
+	// response.
 	clear(s.w.Header())
 	s.w.Header().Set(headerRequestID, s.c.spec.ID)
 	writeFailure(s.w, f, s.c.spec.ID)
 }
 
-func (s *serviceSink) record() recorded {
-	return recorded{status: s.status, contentType: s.w.Header().Get("Content-Type"), body: s.kept.Bytes()}
+func (s *serviceSink) record() recordedAnswer {
+	return recordedAnswer{status: s.status, contentType: s.w.Header().Get("Content-Type"), body: s.recordedBody.Bytes()}
 }
 
-func (s *serviceSink) replay(a recorded) error {
+func (s *serviceSink) replay(a recordedAnswer) error {
 	s.w.Header().Set("Content-Type", a.contentType)
 	s.status = a.status
-	s.begin()
+	s.writeHeader()
 	return s.write(a.body)
 }
 
 func (s *serviceSink) prior() []byte { return nil }
 
-// resumable: a service's answer has no numbering of its own to go on from.
+// resumable returns false: a service can't continue a broken response from a
+// chunk number.
 func (s *serviceSink) resumable() bool { return false }
 
 var (
 	_ sink = (*serviceSink)(nil)
-	_ sink = (*wholeSink)(nil)
+	_ sink = (*bufferedSink)(nil)
 	_ sink = (*streamSink)(nil)
 )
--- a/entry/spread_test.go
+++ b/entry/spread_test.go
@@ -7,14 +7,16 @@
 	"testing/synctest"
 )
 
-// hugeBody is a prompt of about so many tokens that one engine could hold.
-func hugeBody(tokens int) string {
+// hugePromptBody returns a request with a prompt of about the given number of
+// tokens, which fits on one engine.
+func hugePromptBody(tokens int) string {
 	return fmt.Sprintf(`{"model":"m","messages":[{"role":"user","content":"%s"}],"max_tokens":100}`,
 		strings.Repeat("0123456789ab", tokens/3))
 }
 
-// members returns over how many servers the last answer's prompt was spread.
-func members(b *bench) int {
+// groupMembers returns the number of servers in the group that ran the prompt,
+// 1 if there was no group.
+func groupMembers(b *testEntry) int {
 	for _, a := range b.fleet.agents {
 		for _, start := range a.starts {
 			if len(start.GetGroup()) > 0 {
@@ -25,7 +27,7 @@
 	return 1
 }
 
-func TestHugePromptIsSpreadForItsTTFT(t *testing.T) {
+func TestHugePromptIsSpreadToReduceTTFT(t *testing.T) {
 	for name, c := range map[string]struct {
 		servers, tokens int
 		spread          int64
@@ -40,15 +42,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := longFleet(c.servers)
+				f := newGroupFleet(c.servers)
 				f.memory = 1_000_000
-				b := newBench(t, f, Limits{TokensPerGroupMember: c.spread})
-				wantText(t, chat(b, hugeBody(c.tokens)), tokenText(3))
-				if n := members(b); n != c.want {
-					t.Fatalf("spread over %d, want %d", n, c.want)
+				b := newTestEntry(t, f, Limits{TokensPerGroupMember: c.spread})
+				assertText(t, chat(b, hugePromptBody(c.tokens)), tokenText(3))
+				if n := groupMembers(b); n != c.want {
+					t.Fatalf("spread over %d servers, want %d", n, c.want)
 				}
 				synctest.Wait()
-				b.wantNothingHeld(t)
+				b.assertNothingHeld(t)
 			})
 		})
 	}
--- a/entry/wait_test.go
+++ b/entry/wait_test.go
@@ -8,11 +8,11 @@
 	"github.com/briarturn/briarturn/routing"
 )
 
-// Symptom: while all servers are busy, short prompts are refused again and
-// again and end as not run.
-// Sequence: each server has more ahead than the entry expected, and refuses.
-// Cause: a bound on the wait at every attempt; after some it must be lifted.
-func TestBoundOnTheWaitIsLiftedAfterRefusals(t *testing.T) {
+// Guards against short prompts that fail as not run while all servers are
+// busy: each server has a longer queue than the entry expected and refuses the
+// attempt because of its limit on the queue wait. After some refusals the
+// limit must be lifted.
+func TestQueueWaitBoundIsLiftedAfterRefusals(t *testing.T) {
 	to := routing.Choice{QueueWait: 30 * time.Millisecond}
 	for _, c := range []struct {
 		refusals int
@@ -21,14 +21,14 @@
 		want     uint64
 	}{
 		{0, 1_000, to, 50},
-		{waitRefusals - 1, 1_000, to, 50},
-		{waitRefusals, 1_000, to, 0},
-		{0, request.LargeTokens, to, 0},      // a long prompt only chooses
-		{0, 1_000, routing.Choice{}, 0},      // a policy that estimates nothing
-		{0, request.LargeTokens - 1, to, 50}, // the longest that is bound
+		{boundedWaitRefusals - 1, 1_000, to, 50},
+		{boundedWaitRefusals, 1_000, to, 0},
+		{0, request.LargeTokens, to, 0},      // no limit for long prompts
+		{0, 1_000, routing.Choice{}, 0},      // the policy estimates no wait
+		{0, request.LargeTokens - 1, to, 50}, // the longest prompt with a limit
 	} {
-		call := &call{spec: &request.Spec{PromptTokens: c.tokens}, body: &chatBody{}, refusals: c.refusals}
-		if got := call.maxWait(c.to); got != c.want {
+		call := &call{spec: &request.Spec{PromptTokens: c.tokens}, body: &requestBody{}, refusals: c.refusals}
+		if got := call.maxQueueWaitMs(c.to); got != c.want {
 			t.Errorf("%+v: got %d ms", c, got)
 		}
 	}
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -11,35 +11,36 @@
 	"github.com/briarturn/briarturn/backend"
 )
 
-// stallTime is how long an attempt must have been silent before the death of
-// its server ends it.
-const stallTime = 5 * time.Second
+// stallTimeout is how long an attempt must have received nothing before it is
+// cancelled because its server is dead.
+const stallTimeout = 5 * time.Second
 
-// errServerDead: the server is dead by what other observers say, and the attempt
-// on it is silent.
+// errServerDead is the cancellation cause of a stalled attempt whose server is
+// dead, or whose agent has restarted, according to the server table.
 const errServerDead = errors.ConstError("backend server is dead")
 
-// watched is an attempt that has been admitted.
-type watched struct {
-	server      string
-	incarnation uint64 // of the agent that admitted it, 0 if it didn't say
-	heard       atomic.Int64
-	cancel      context.CancelCauseFunc
+// watchedAttempt is an attempt that has been admitted.
+type watchedAttempt struct {
+	server       string
+	incarnation  uint64 // of the agent that admitted it, 0 if not reported
+	lastReceived atomic.Int64
+	cancel       context.CancelCauseFunc
 }
 
-func (w *watched) hear(now time.Time) { w.heard.Store(now.UnixNano()) }
+func (w *watchedAttempt) touch(now time.Time) { w.lastReceived.Store(now.UnixNano()) }
 
-// watchList holds the attempts in progress. mu guards them and is taken last.
+// watchList holds the admitted attempts that may be retried. No other lock is
+// acquired while mu is held.
 type watchList struct {
 	mu       sync.Mutex
-	attempts map[*watched]struct{}
+	attempts map[*watchedAttempt]struct{}
 }
 
-func (l *watchList) add(w *watched) (remove func()) {
+func (l *watchList) add(w *watchedAttempt) (remove func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.attempts == nil {
-		l.attempts = map[*watched]struct{}{}
+		l.attempts = map[*watchedAttempt]struct{}{}
 	}
 	l.attempts[w] = struct{}{}
 	return func() {
@@ -49,31 +50,32 @@
 	}
 }
 
-// silent returns the attempts that have said nothing since a time.
-func (l *watchList) silent(since time.Time) []*watched {
+// silentSince returns the attempts that have received nothing since the given
+// time.
+func (l *watchList) silentSince(since time.Time) []*watchedAttempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out []*watched
+	var out []*watchedAttempt
 	for w := range l.attempts {
-		if w.heard.Load() <= since.UnixNano() {
+		if w.lastReceived.Load() <= since.UnixNano() {
 			out = append(out, w)
 		}
 	}
 	return out
 }
 
-// CancelStalledAttempts ends the silent attempts on servers that are dead, or whose agent
-// has restarted since, so that they are tried elsewhere. Call it about once a
-// second, behind the table's Sweep.
+// CancelStalledAttempts cancels the stalled attempts on servers that are dead,
+// or whose agent has restarted since, so that they are retried on other
+// servers. Call it about once a second, after the table's Sweep.
 //
-// A VM that is paused, or cut off in one direction, keeps its connections open:
-// its requests would wait for their whole time limit and then fail, while other
-// servers have room. Only attempts that may be repeated are ended; for the
-// others a late answer is better than none.
+// A VM that is paused, or unreachable in one direction, keeps its connections
+// open: without this its requests would wait for their whole time limit and
+// then fail, although other servers have capacity. Only idempotent attempts
+// are cancelled, since for the others a late answer is better than none.
 func (e *Entry) CancelStalledAttempts(now time.Time) (ended int) {
-	for _, w := range e.watch.silent(now.Add(-stallTime)) {
+	for _, w := range e.watch.silentSince(now.Add(-stallTimeout)) {
 		row, known := e.cfg.Servers.Lookup(w.server)
-		if !known || !gone(&row, w.incarnation) {
+		if !known || !deadOrRestarted(&row, w.incarnation) {
 			continue
 		}
 		w.cancel(errServerDead)
@@ -82,6 +84,6 @@
 	return ended
 }
 
-func gone(row *backend.Row, incarnation uint64) bool {
+func deadOrRestarted(row *backend.Row, incarnation uint64) bool {
 	return row.State == backend.StateDead || incarnation != 0 && row.Incarnation > incarnation
 }
