--- a/agent/config.go
+++ b/agent/config.go
@@ -52,7 +52,7 @@
 	LongPrefillTokens        int64         // long prompts in prefill together; default 400,000
 	LongAdmissionTimeout     time.Duration // a long run waits so long for admission; default 5 s
 	MaxRunAloneWaiting       int           // suspects that wait for an idle engine; default 16
-	RunAloneAdmissionTimeout time.Duration // a suspect waits so long, under the entries' LongAdmitWait; default 4 s
+	RunAloneAdmissionTimeout time.Duration // a suspect waits so long, under the entries' LongAdmissionTimeout; default 4 s
 	MaxBodyBytes             uint64        // one request; default 32 MiB
 	MaxTotalBodyBytes        uint64        // bodies of all runs not yet sent on; default 128 MiB
 	BodyTimeout              time.Duration // from Admit to the whole body; default 10 s
