--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -65,7 +65,7 @@
 	groupCount       int           // groups formed so far; numbers their names
 	admittedAttempts uint32        // attempts that were admitted and sent the body
 	mayHaveRun       bool          // a finished attempt may have started to run
-	runAlone         bool          // the quarantine allows it only on an idle engine
+	runAlone         bool          // the quarantine requires it to run alone on its engine
 	expectedTTFT     time.Duration // estimate made at admission
 	ticket           workspace.Ticket
 	outputTokens     int64     // charged to the workspace with the ticket
