--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -16,7 +16,7 @@
 
 // Errors of an attempt.
 const (
-	errAdmissionTimeout = errors.ConstError("timed out waiting for admission")
+	errAdmissionTimeout = errors.ConstError("no admission in time")
 	errUnexpected       = errors.ConstError("unexpected message")
 )
 
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -80,7 +80,7 @@
 		f = c.earlierRequestFailure(reasonInProgress, "an earlier request with this key is in progress")
 		f.RetryAfter = retrySoon
 	default:
-		f = c.earlierRequestFailure(reasonEarlierUnknown, "an earlier request with this key was dispatched and its outcome is unknown")
+		f = c.earlierRequestFailure(reasonEarlierUnknown, "an earlier request with this key was dispatched and its outcome is not known")
 	}
 	return grant, done, f
 }
@@ -112,11 +112,11 @@
 func (c *call) replay(r claim.Record) (bool, *request.Failure) {
 	a, fingerprint, ok := parseRecord(r)
 	if !ok {
-		return false, c.earlierRequestFailure(reasonFinished, "an earlier request with this key has completed; its answer is not stored")
+		return false, c.earlierRequestFailure(reasonFinished, "an earlier request with this key ran to its end; its answer is not kept")
 	}
 	if fingerprint != c.spec.Fingerprint {
 		return false, notRun(http.StatusUnprocessableEntity, reasonKeyReused, "claim",
-			"this key was already used with different content", 0)
+			"this key was used before with other content", 0)
 	}
 	c.e.metrics.count("entry.replayed")
 	if err := c.sink.replay(a); err != nil {
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -199,7 +199,7 @@
 		return nil
 	}
 	return c.newFailure(http.StatusUnprocessableEntity, reasonQuarantined, "admission",
-		"engines died while running this prompt; it is quarantined for now", 0)
+		"engines died while they ran this prompt; it is refused for now", 0)
 }
 
 // runAttempts runs attempts until one succeeds or no safe retry is left.
@@ -280,7 +280,7 @@
 	noneTried := len(c.excluded) == 0
 	switch {
 	case c.runAlone && noneTried: // an engine may become idle later
-		last = c.newFailure(http.StatusServiceUnavailable, reasonBusy, "choose", "no engine is idle, and this prompt may only run alone", retrySoon)
+		last = c.newFailure(http.StatusServiceUnavailable, reasonBusy, "choose", "no engine is idle, and this prompt runs only alone", retrySoon)
 	case last == nil || noneTried:
 		last = c.newFailure(http.StatusServiceUnavailable, reasonNoBackend, "choose", errNoCandidate.Error(), retrySoon)
 	}
--- a/entry/drain.go
+++ b/entry/drain.go
@@ -55,7 +55,7 @@
 	}
 	if e.inProgress.Load() >= e.limits.MaxInProgress {
 		return nil, notRun(http.StatusServiceUnavailable, reasonBusy, "admission",
-			"this entry is at its limit of requests in progress; retry on another entry", retryElsewhere)
+			"this entry has as many requests as it takes; ask another", retryElsewhere)
 	}
 	e.inFlight.Add(1)
 	e.inProgress.Add(1)
@@ -71,5 +71,5 @@
 
 func drainingFailure() *request.Failure {
 	return notRun(http.StatusServiceUnavailable, reasonDraining, "admission",
-		"this entry is shutting down; retry on another entry", retryElsewhere)
+		"this entry is shutting down; ask another", retryElsewhere)
 }
--- a/entry/group_holds.go
+++ b/entry/group_holds.go
@@ -78,7 +78,7 @@
 		return nil
 	}
 	return &result{server: m.Name, refuse: &wirepb.Refuse{Code: out.GetCode(),
-		Detail: fmt.Sprintf("%s has no memory for %d tokens of a long prompt", m.Name, m.holdTokens)}}
+		Detail: fmt.Sprintf("%s has no room for %d tokens of a long prompt", m.Name, m.holdTokens)}}
 }
 
 // isCapacityRefusal reports whether a refusal is due to a lack of capacity, which
--- a/entry/outcome.go
+++ b/entry/outcome.go
@@ -35,7 +35,7 @@
 	c.updateMayHaveRun(res)
 	c.recordEngineDeath(res)
 	if res.callerErr != nil {
-		return c.newFailure(statusClientClosed, reasonCancelled, "answer", "the caller disconnected or reads too slowly", 0), true
+		return c.newFailure(statusClientClosed, reasonCancelled, "answer", "the caller went away or reads too slowly", 0), true
 	}
 	if ctx.Err() != nil {
 		return c.contextFailure(ctx, "attempt"), true
@@ -119,7 +119,7 @@
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return c.newFailure(http.StatusGatewayTimeout, reasonDeadline, step, "the time limit has passed", 0)
 	}
-	return c.newFailure(statusClientClosed, reasonCancelled, step, "the caller disconnected", 0)
+	return c.newFailure(statusClientClosed, reasonCancelled, step, "the caller went away", 0)
 }
 
 // newFailure returns a failure whose code is not_run only if the request has
--- a/request/assembler.go
+++ b/request/assembler.go
@@ -96,7 +96,7 @@
 		return errors.Annotatef(ErrIncomplete, "%d of %d chunks", a.next, total)
 	}
 	if a.next > total || len(a.buffered) > 0 {
-		return errors.Annotatef(ErrOverrun, "%d delivered, %d buffered, %d announced", a.next, len(a.buffered), total)
+		return errors.Annotatef(ErrOverrun, "%d given, %d kept, %d announced", a.next, len(a.buffered), total)
 	}
 	return nil
 }
@@ -109,7 +109,7 @@
 		return nil
 	}
 	if len(a.buffered) >= a.limits.Chunks || a.bufferedBytes+len(data) > a.limits.Bytes {
-		return errors.Annotatef(ErrTooFarAhead, "received chunk %d, next is %d", sequence, a.next)
+		return errors.Annotatef(ErrTooFarAhead, "chunk %d while %d is due", sequence, a.next)
 	}
 	if a.buffered == nil {
 		a.buffered = make(map[uint64][]byte)
