--- a/agent/admit.go
+++ b/agent/admit.go
@@ -12,49 +12,52 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// Bounds of the retry_after that a refusal carries.
+// Bounds of the retry_after value in a refusal.
 const (
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
 )
 
-// askAgain is how often a waiting run asks the ledger, also if nothing was freed:
-// the ledger drops from its queue who doesn't ask within WaitTTL.
-const askAgain = time.Second
+// reserveRetryInterval is how often a waiting run retries its reservation, even
+// if nothing was freed: the ledger removes queued requests that do not retry
+// within WaitTTL.
+const reserveRetryInterval = time.Second
 
-// refusal says why a run was not admitted. Nothing was sent to the engine.
+// refusal is the reason why a run was not admitted. Nothing was sent to the
+// engine.
 type refusal struct {
 	code   wirepb.RefuseCode
 	detail string
 }
 
-// errDuplicate: an attempt arrived twice. It can't be refused, since a refusal
-// says "not run" and the first of the two runs; the stream ends with an error,
-// which leaves the outcome unknown.
+// errDuplicate is returned for an attempt that is already in progress. A
+// refusal would state that the attempt did not run, which is false for the
+// first copy. The stream ends with an error instead, which leaves the outcome
+// unknown.
 const errDuplicate = errors.ConstError("attempt already in progress")
 
-// admit decides on a run and enters it in the tables. A long run or a suspect may
-// wait.
+// admit decides whether to accept a run and registers it. A long run or a
+// suspect may wait.
 func (a *Agent) admit(r *run) (*refusal, error) {
 	if freed, err := a.ledger.ObserveOwner(a.cfg.Now(), r.owner); err == nil {
-		a.apply(freed, errOwnerGone)
+		a.applyFreed(freed, errOwnerGone)
 	}
-	giveUp := time.NewTimer(min(a.patience(r), r.timeout))
-	defer giveUp.Stop()
-	again := time.NewTicker(askAgain)
-	defer again.Stop()
-	defer a.leaveLine(r)
+	timeout := time.NewTimer(min(a.admissionTimeout(r), r.timeout))
+	defer timeout.Stop()
+	retry := time.NewTicker(reserveRetryInterval)
+	defer retry.Stop()
+	defer a.leaveQueue(r)
 	for {
-		memory := a.ledger.FreedNotify()
+		freed := a.ledger.FreedNotify()
 		refused, changed, err := a.tryAdmit(r)
-		if err != nil || refused == nil || !a.mayWait(r, refused) {
+		if err != nil || refused == nil || !a.tryEnqueue(r, refused) {
 			return refused, err
 		}
 		select {
-		case <-memory:
+		case <-freed:
 		case <-changed:
-		case <-again.C:
-		case <-giveUp.C:
+		case <-retry.C:
+		case <-timeout.C:
 			return refused, nil
 		case <-r.ctx.Done():
 			a.ledger.CancelWait(r.queueID())
@@ -63,8 +66,8 @@
 	}
 }
 
-// tryAdmit makes all checks and the entry in the tables in one critical section,
-// so that two runs can't both take the last place.
+// tryAdmit runs all checks and registers the run in one critical section, so
+// that two runs can't both take the last slot.
 func (a *Agent) tryAdmit(r *run) (*refusal, <-chan struct{}, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -73,19 +76,19 @@
 	}
 	for _, check := range admissionChecks {
 		if refused := check(a, r); refused != nil {
-			return refused, a.changed, nil
+			return refused, a.stateChanged, nil
 		}
 	}
-	refused, err := a.reserve(r)
+	refused, err := a.reserveTokens(r)
 	if refused != nil || err != nil {
-		return refused, a.changed, err
+		return refused, a.stateChanged, err
 	}
-	a.enter(r)
+	a.registerLocked(r)
 	return nil, nil, nil
 }
 
-// admissionChecks run in this order with Agent.mu held; the first refusal wins.
-// The memory ledger comes last, since it alone changes state.
+// admissionChecks run in this order with Agent.mu held; the first refusal is
+// returned. The memory ledger comes last, because only it changes state.
 var admissionChecks = []func(*Agent, *run) *refusal{
 	checkDraining,
 	checkEngine,
@@ -96,11 +99,12 @@
 	checkAlone,
 	checkConcurrency,
 	checkPrefill,
-	checkWait,
+	checkMaxWait,
 }
 
 func checkDraining(a *Agent, r *run) *refusal {
-	// A run on a hold granted before belongs to work in progress.
+	// A run on a hold that was granted before the drain belongs to work in
+	// progress.
 	if a.draining && r.start.HoldId == "" {
 		return &refusal{wirepb.RefuseCode_REFUSE_DRAINING, "backend server is leaving"}
 	}
@@ -109,7 +113,7 @@
 
 func checkEngine(a *Agent, _ *run) *refusal {
 	if !a.engine.up {
-		return &refusal{wirepb.RefuseCode_REFUSE_ENGINE_DOWN, a.engine.reason}
+		return &refusal{wirepb.RefuseCode_REFUSE_ENGINE_DOWN, a.engine.downReason}
 	}
 	return nil
 }
@@ -143,7 +147,7 @@
 }
 
 func checkBody(a *Agent, r *run) *refusal {
-	if a.bodies+r.start.BodyBytes > a.cfg.Limits.MaxTotalBodyBytes {
+	if a.bufferedBodyBytes+r.start.BodyBytes > a.cfg.Limits.MaxTotalBodyBytes {
 		return &refusal{wirepb.RefuseCode_REFUSE_BUSY, "too many bodies on the way"}
 	}
 	return nil
@@ -153,38 +157,39 @@
 	if a.descriptor.Service || a.descriptor.PrefillRate <= 0 {
 		return nil
 	}
-	if a.expectedPrefill(r.yields(), r.prompt) > r.left(a.cfg.Now()) {
+	if a.expectedPrefill(r.yields(), r.promptTokens) > r.timeLeft(a.cfg.Now()) {
 		return &refusal{wirepb.RefuseCode_REFUSE_DEADLINE, "prefill would take longer than the time left"}
 	}
 	return nil
 }
 
-// expectedPrefill estimates the time to prefill so many tokens behind what is
-// here already.
+// expectedPrefill estimates the time to prefill so many tokens after the tokens
+// that are already waiting for or in prefill.
 func (a *Agent) expectedPrefill(long bool, tokens int64) time.Duration {
 	if a.descriptor.PrefillRate <= 0 {
 		return 0
 	}
-	seconds := float64(a.prefill.backlog(long)+tokens) / float64(a.descriptor.PrefillRate)
+	seconds := float64(a.prefill.tokensAhead(long)+tokens) / float64(a.descriptor.PrefillRate)
 	return time.Duration(seconds * float64(time.Second))
 }
 
 func checkAlone(a *Agent, r *run) *refusal {
 	if r.start.Alone {
-		first := len(a.loneWaiting) == 0 || a.loneWaiting[0] == r
+		first := len(a.runAloneQueue) == 0 || a.runAloneQueue[0] == r
 		if len(a.runs) > 0 || !first {
 			return &refusal{wirepb.RefuseCode_REFUSE_SUSPECT_ALONE, "engine is not idle"}
 		}
 		return nil
 	}
-	// Whatever ran beside a suspect would die with it and look as guilty.
-	if a.alone {
+	// A request beside a suspect would die with it and become a suspect too.
+	if a.runningAlone {
 		return &refusal{wirepb.RefuseCode_REFUSE_BUSY, "a suspect runs alone"}
 	}
-	// On a busy fleet no engine becomes idle by itself: innocent suspects would
-	// be refused until their time is over. What runs on a hold is let in, since
-	// it belongs to work in progress that would hold its memory meanwhile.
-	if len(a.loneWaiting) > 0 && r.start.HoldId == "" {
+	// On a busy fleet no engine becomes idle on its own: harmless suspects
+	// would be refused until their deadline. Runs on a hold are still admitted,
+	// because they belong to work in progress that would otherwise keep its
+	// memory held.
+	if len(a.runAloneQueue) > 0 && r.start.HoldId == "" {
 		return &refusal{wirepb.RefuseCode_REFUSE_BUSY, "a suspect waits for the engine to be idle"}
 	}
 	return nil
@@ -201,71 +206,72 @@
 	if !r.start.Long {
 		return nil
 	}
-	first := len(a.longWaiting) == 0 || a.longWaiting[0] == r
-	if !first || !a.prefill.admits(r.prompt) {
+	first := len(a.longQueue) == 0 || a.longQueue[0] == r
+	if !first || !a.prefill.admitsLong(r.promptTokens) {
 		return &refusal{wirepb.RefuseCode_REFUSE_BUSY, "long prompts in prefill"}
 	}
 	return nil
 }
 
-// patience is how long a run may wait for admission.
-func (a *Agent) patience(r *run) time.Duration {
+// admissionTimeout returns the longest time that a run may wait for admission.
+func (a *Agent) admissionTimeout(r *run) time.Duration {
 	if r.start.Alone {
 		return a.cfg.Limits.RunAloneAdmissionTimeout
 	}
 	return a.cfg.Limits.LongAdmissionTimeout
 }
 
-// mayWait puts a run in line if what refused it passes by itself.
-func (a *Agent) mayWait(r *run, refused *refusal) bool {
+// tryEnqueue puts a run in a wait queue if the reason for its refusal is
+// temporary. It reports whether the run is queued.
+func (a *Agent) tryEnqueue(r *run, refused *refusal) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	line, limit := a.lineFor(r, refused.code)
-	if line == nil {
+	queue, limit := a.queueForLocked(r, refused.code)
+	if queue == nil {
 		return false
 	}
-	if slices.Contains(*line, r) {
+	if slices.Contains(*queue, r) {
 		return true
 	}
-	if len(*line) >= limit {
+	if len(*queue) >= limit {
 		return false
 	}
-	*line = append(*line, r)
+	*queue = append(*queue, r)
 	return true
 }
 
-// lineFor returns the line in which a refused run may wait and how many may, or
-// nil. Call with mu held.
-func (a *Agent) lineFor(r *run, code wirepb.RefuseCode) (line *[]*run, limit int) {
+// queueForLocked returns the queue in which a refused run may wait and the
+// queue's capacity, or nil if the run may not wait. Call with mu held.
+func (a *Agent) queueForLocked(r *run, code wirepb.RefuseCode) (queue *[]*run, limit int) {
 	switch code {
 	case wirepb.RefuseCode_REFUSE_SUSPECT_ALONE:
-		return &a.loneWaiting, a.cfg.Limits.MaxRunAloneWaiting
+		return &a.runAloneQueue, a.cfg.Limits.MaxRunAloneWaiting
 	case wirepb.RefuseCode_REFUSE_BUSY, wirepb.RefuseCode_REFUSE_NO_MEMORY:
 		if r.start.Long {
-			return &a.longWaiting, a.cfg.Limits.MaxLongWaiting
+			return &a.longQueue, a.cfg.Limits.MaxLongWaiting
 		}
 	}
 	return nil, 0
 }
 
-func (a *Agent) leaveLine(r *run) {
+func (a *Agent) leaveQueue(r *run) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, line := range []*[]*run{&a.longWaiting, &a.loneWaiting} {
-		if i := slices.Index(*line, r); i >= 0 {
-			*line = slices.Delete(*line, i, i+1)
-			a.wake()
+	for _, queue := range []*[]*run{&a.longQueue, &a.runAloneQueue} {
+		if i := slices.Index(*queue, r); i >= 0 {
+			*queue = slices.Delete(*queue, i, i+1)
+			a.notifyWaitersLocked()
 		}
 	}
 }
 
-// reserve takes the run's tokens from the ledger.
-func (a *Agent) reserve(r *run) (*refusal, error) {
+// reserveTokens reserves the run's tokens in the ledger.
+func (a *Agent) reserveTokens(r *run) (*refusal, error) {
 	err := a.ledger.Admit(a.cfg.Now(), backend.RunSpec{
 		ID:      r.id,
 		Owner:   r.owner,
 		HoldID:  r.start.HoldId,
-		Tokens:  r.tokens,
+		Tokens:  r.reservedTokens,
 		Long:    r.start.Long,
 		QueueID: r.queueID(),
 	})
@@ -278,7 +284,7 @@
 	return &refusal{refuseCode(err), err.Error()}, nil
 }
 
-// refuseCode maps an error of the ledger.
+// refuseCode returns the refusal code for an error of the ledger.
 func refuseCode(err error) wirepb.RefuseCode {
 	switch {
 	case errors.Is(err, backend.ErrNoMemory), errors.Is(err, backend.ErrNeverFits):
@@ -292,73 +298,76 @@
 	return wirepb.RefuseCode_REFUSE_BAD_REQUEST
 }
 
-// enter puts an admitted run in the tables. Call with mu held.
-func (a *Agent) enter(r *run) {
+// registerLocked adds an admitted run to the tables. Call with mu held.
+func (a *Agent) registerLocked(r *run) {
 	a.runs[r.id] = r
-	r.boot = a.engine.boot
-	r.bodyHeld = r.start.BodyBytes
-	a.bodies += r.bodyHeld
-	r.prefilling = r.prompt
-	a.prefill.add(r.yields(), r.prefilling)
-	a.alone = r.start.Alone
-	// Last: the entry drops its own count of this run when it gets this sample.
-	// A sample without the run's prefill would make the engine look idle until
-	// the next report, and the entry would send it one prompt after the other.
-	r.load = a.load()
-	a.counter.admitted.Inc(1)
+	r.bootID = a.engine.bootID
+	r.bufferedBodyBytes = r.start.BodyBytes
+	a.bufferedBodyBytes += r.bufferedBodyBytes
+	r.prefillTokens = r.promptTokens
+	a.prefill.add(r.yields(), r.prefillTokens)
+	a.runningAlone = r.start.Alone
+	// The load is sampled last: the entry drops its own count of this run when
+	// it receives the sample. A sample without the run's prefill would make the
+	// engine look idle until the next report, and the entry would send it one
+	// prompt after another.
+	r.admissionLoad = a.loadLocked()
+	a.counters.admitted.Inc(1)
 }
 
-// prefillDone gives the run's prefill share back: the first chunk came.
-func (a *Agent) prefillDone(r *run) {
+// finishPrefill releases the run's share of the prefill when its first chunk
+// has arrived.
+func (a *Agent) finishPrefill(r *run) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.endPrefill(r)
-	a.wake()
+	a.endPrefillLocked(r)
+	a.notifyWaitersLocked()
 }
 
-func (a *Agent) endPrefill(r *run) {
-	a.prefill.add(r.yields(), -r.prefilling)
-	r.prefilling = 0
+func (a *Agent) endPrefillLocked(r *run) {
+	a.prefill.add(r.yields(), -r.prefillTokens)
+	r.prefillTokens = 0
 }
 
-// bodySent notes that the body is no longer in the agent's memory.
-func (a *Agent) bodySent(r *run) {
+// releaseBody records that the body is no longer in the agent's memory.
+func (a *Agent) releaseBody(r *run) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.bodies -= r.bodyHeld
-	r.bodyHeld = 0
+	a.bufferedBodyBytes -= r.bufferedBodyBytes
+	r.bufferedBodyBytes = 0
 }
 
-// leave frees all that a run took, once, whoever calls first.
-func (a *Agent) leave(r *run) {
+// release frees everything that a run holds. Only the first call has an effect.
+func (a *Agent) release(r *run) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.runs[r.id] != r {
 		return
 	}
 	delete(a.runs, r.id)
-	a.bodies -= r.bodyHeld
-	r.bodyHeld = 0
-	a.endPrefill(r)
+	a.bufferedBodyBytes -= r.bufferedBodyBytes
+	r.bufferedBodyBytes = 0
+	a.endPrefillLocked(r)
 	if r.start.Alone {
-		a.alone = false
+		a.runningAlone = false
 	}
 	a.ledger.Finish(a.cfg.Now(), r.id)
-	a.wake()
-	a.noteDrained()
+	a.notifyWaitersLocked()
+	a.checkDrainedLocked()
 }
 
-// wake tells waiting long runs that something was freed. Call with mu held.
-func (a *Agent) wake() {
-	close(a.changed)
-	a.changed = make(chan struct{})
+// notifyWaitersLocked wakes waiting runs and orders, so that they check again.
+// Call with mu held.
+func (a *Agent) notifyWaitersLocked() {
+	close(a.stateChanged)
+	a.stateChanged = make(chan struct{})
 }
 
-// refuse answers a run that was not admitted.
-func (a *Agent) refuse(r *run, refused *refusal) error {
-	a.counter.refused(refused.code).Inc(1)
+// sendRefusal sends Refuse for a run that was not admitted.
+func (a *Agent) sendRefusal(r *run, refused *refusal) error {
+	a.counters.refused(refused.code).Inc(1)
 	a.mu.Lock()
-	load := a.load()
+	load := a.loadLocked()
 	retry := a.expectedPrefill(r.yields(), 0)
 	a.mu.Unlock()
 	retry = min(max(retry, minRetryAfter), maxRetryAfter)
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -13,109 +13,112 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// Agent guards one backend server. It implements wirepb.DRPCAgentServer.
+// Agent controls all access to one backend server. It implements
+// wirepb.DRPCAgentServer.
 type Agent struct {
-	cfg     Config
-	ledger  *backend.Ledger
-	reaper  *reaper
-	counter counters
-	ctx     context.Context // ends with Close
-	stop    context.CancelFunc
-	workers sync.WaitGroup
-
-	probing sync.Mutex    // one look at the engine at a time; taken before mu
-	looks   atomic.Uint64 // looks begun
-
-	ordering chan struct{} // holds a token while an order is carried out; taken before mu
-
-	mu          sync.Mutex // guards everything below
-	fence       uint64     // highest admitted, of any lease
-	listed      string     // boot under which the engine last listed what it has
-	listAgain   bool       // an order may have changed more than it named
-	descriptor  backend.Descriptor
-	runs        map[string]*run
-	longWaiting []*run        // long runs that wait for admission, in order
-	loneWaiting []*run        // suspects that wait for the engine to be idle, in order
-	changed     chan struct{} // closed and replaced when a run ends
-	prefill     prefill
-	bodies      uint64 // bytes of bodies promised and not yet sent on
-	alone       bool   // a suspect runs; nothing else may
-	leaving     bool   // told in the load, not yet refused
-	draining    bool
-	drained     chan struct{}
-	drainedDone bool
-	sequence    uint64
-	engine      engineState
-	broken      []Suspect // runs that ended while the engine was silent, until its boot is known
-	lastDeath   Death
-	deathHeard  <-chan struct{} // of lastDeath; nil if nobody is told
+	cfg      Config
+	ledger   *backend.Ledger
+	reaper   *reaper
+	counters counters
+	ctx      context.Context // cancelled by Close
+	stop     context.CancelFunc
+	workers  sync.WaitGroup
+
+	probeMu       sync.Mutex // held during a probe of the engine; taken before mu
+	probesStarted atomic.Uint64
+
+	orderSlot chan struct{} // semaphore of size one, held while an order is executed; taken before mu
+
+	mu                sync.Mutex // guards all fields below
+	highestFence      uint64     // highest admitted fence of any lease
+	inventoryBootID   string     // boot ID of the engine at its last inventory
+	inventoryStale    bool       // an order may have changed more than it named
+	descriptor        backend.Descriptor
+	runs              map[string]*run
+	longQueue         []*run        // long runs that wait for admission, in order
+	runAloneQueue     []*run        // suspects that wait for the engine to be idle, in order
+	stateChanged      chan struct{} // closed and replaced when a run ends or capacity is freed
+	prefill           prefillLoad
+	bufferedBodyBytes uint64 // declared bytes of bodies not yet sent to the engine
+	runningAlone      bool   // a suspect is running; all other runs are refused
+	drainAnnounced    bool   // the load reports the drain, but new runs are not yet refused
+	draining          bool
+	drained           chan struct{}
+	drainedClosed     bool
+	loadSequence      uint64
+	engine            engineState
+	pendingSuspects   []Suspect // runs that ended while the engine did not respond, kept until its boot ID is known
+	lastDeath         Death
+	deathAnnounced    <-chan struct{} // closed when lastDeath has reached the home entries; nil if it is not sent to them
 }
 
 var _ wirepb.DRPCAgentServer = (*Agent)(nil)
 
-// New returns an agent that has looked at its engine once and cancelled what an
-// earlier agent left running there. Close ends it.
+// New returns an agent after a first probe of its engine. Runs and segments
+// that an earlier agent left at the engine are freed in the background. Close
+// stops the agent.
 func New(cfg Config) (*Agent, error) {
 	cfg, err := cfg.withDefaults()
 	if err != nil {
 		return nil, errors.Annotatef(err, "step start agent")
 	}
 	a := &Agent{
-		cfg:        cfg,
-		ledger:     backend.NewLedger(cfg.Ledger),
-		ordering:   make(chan struct{}, 1),
-		counter:    newCounters(cfg.Metrics),
-		descriptor: cfg.Descriptor,
-		runs:       map[string]*run{},
-		changed:    make(chan struct{}),
-		prefill:    prefill{limit: cfg.Limits.LongPrefillTokens},
-		drained:    make(chan struct{}),
+		cfg:          cfg,
+		ledger:       backend.NewLedger(cfg.Ledger),
+		orderSlot:    make(chan struct{}, 1),
+		counters:     newCounters(cfg.Metrics),
+		descriptor:   cfg.Descriptor,
+		runs:         map[string]*run{},
+		stateChanged: make(chan struct{}),
+		prefill:      prefillLoad{longLimit: cfg.Limits.LongPrefillTokens},
+		drained:      make(chan struct{}),
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	a.ctx, a.stop = ctx, func() { cancel(errClosing) }
 	a.reaper = newReaper(cfg.Engine, cfg.Limits.ProbeTimeout)
 	a.exportGauges(cfg.Metrics)
-	a.look(a.ctx)
-	a.workers.Go(a.watch)
-	a.workers.Go(func() { a.reaper.work(a.ctx) })
+	a.probe(a.ctx)
+	a.workers.Go(a.maintain)
+	a.workers.Go(func() { a.reaper.run(a.ctx) })
 	return a, nil
 }
 
-// Close cancels all that runs and waits for the agent's own workers. Drain
-// first, and wait for Drained, to cut nothing off.
+// Close cancels all runs and waits for the agent's goroutines. To cut nothing
+// off, drain first and wait for Drained.
 func (a *Agent) Close() {
 	a.stop()
 	a.workers.Wait()
 }
 
-// Load returns a sample of the present load. Its sequence rises with each call.
+// Load returns a sample of the current load. Its sequence number increases with
+// each call.
 func (a *Agent) Load() backend.Load {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.load()
+	return a.loadLocked()
 }
 
-// load is Load with mu held.
-func (a *Agent) load() backend.Load {
+// loadLocked is Load for callers that hold mu.
+func (a *Agent) loadLocked() backend.Load {
 	state := a.ledger.State()
-	a.sequence++
+	a.loadSequence++
 	return backend.Load{
 		Running:      int32(len(a.runs)),
-		Waiting:      int32(len(a.longWaiting) + len(a.loneWaiting) + state.Waiting),
+		Waiting:      int32(len(a.longQueue) + len(a.runAloneQueue) + state.Waiting),
 		PrefillShort: a.prefill.short,
 		PrefillLong:  a.prefill.long,
 		Used:         state.Used + min(state.Excess, state.Capacity-state.Held-state.Used),
 		Held:         state.Held,
 		Capacity:     state.Capacity,
-		Draining:     a.leaving || a.draining,
+		Draining:     a.drainAnnounced || a.draining,
 		Incarnation:  a.cfg.Incarnation,
-		Sequence:     a.sequence,
+		Sequence:     a.loadSequence,
 	}
 }
 
-func (a *Agent) wireLoad() *wirepb.Load { return wire.LoadMessage(a.Load()) }
+func (a *Agent) loadMessage() *wirepb.Load { return wire.LoadMessage(a.Load()) }
 
-// Descriptor returns what the agent says of its backend server at present.
+// Descriptor returns a copy of the current descriptor of the backend server.
 func (a *Agent) Descriptor() backend.Descriptor {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -126,15 +129,15 @@
 	return d
 }
 
-// ReleaseEntry frees all that an entry's incarnation had here. Membership calls it
-// when the entry is known to be dead; a broken stream needs no such call.
+// ReleaseEntry frees everything that one incarnation of an entry holds. It is
+// for an entry that is known to be dead; a broken stream needs no such call.
 func (a *Agent) ReleaseEntry(entry string, incarnation uint64) {
 	owner := backend.Owner{Entry: entry, Incarnation: incarnation}
-	a.apply(a.ledger.ReleaseOwner(a.cfg.Now(), owner), errOwnerGone)
+	a.applyFreed(a.ledger.ReleaseOwner(a.cfg.Now(), owner), errOwnerGone)
 }
 
-// apply stops at the engine what the ledger freed.
-func (a *Agent) apply(freed backend.Cleanup, cause error) {
+// applyFreed frees the segments and cancels the runs that the ledger freed.
+func (a *Agent) applyFreed(freed backend.Cleanup, cause error) {
 	for _, handle := range freed.Handles {
 		a.reaper.freeSegment(handle)
 	}
@@ -147,12 +150,13 @@
 		}
 	}
 	a.mu.Lock()
-	a.noteDrained()
+	a.checkDrainedLocked()
 	a.mu.Unlock()
 }
 
-// watch looks after the engine and the holds until Close.
-func (a *Agent) watch() {
+// maintain expires holds, probes the engine and retries pending cancels at each
+// HealthInterval until Close.
+func (a *Agent) maintain() {
 	tick := time.NewTicker(a.cfg.Limits.HealthInterval)
 	defer tick.Stop()
 	for {
@@ -160,9 +164,9 @@
 		case <-a.ctx.Done():
 			return
 		case <-tick.C:
-			a.apply(a.ledger.Sweep(a.cfg.Now()), errHoldLapsed)
-			a.look(a.ctx)
-			a.reaper.retry()
+			a.applyFreed(a.ledger.Sweep(a.cfg.Now()), errHoldLapsed)
+			a.probe(a.ctx)
+			a.reaper.trigger()
 		}
 	}
 }
--- a/agent/bench_test.go
+++ b/agent/bench_test.go
@@ -11,7 +11,8 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// BenchmarkAdmission is the decision alone, beside 200 runs, without the wire.
+// BenchmarkAdmission measures the admission decision alone, with 200 runs
+// registered and without the network.
 func BenchmarkAdmission(b *testing.B) {
 	cfg := testConfig(newFakeEngine())
 	cfg.Descriptor.MemoryTokens = 1_000_000
@@ -21,7 +22,7 @@
 		start := chatStart(id)
 		r := &run{
 			id: id, start: start, owner: backend.Owner{Entry: "e", Incarnation: 1},
-			prompt: 100, tokens: 150, timeout: 1 << 40, arrived: time.Now(),
+			promptTokens: 100, reservedTokens: 150, timeout: 1 << 40, arrived: time.Now(),
 		}
 		if refused, _, err := a.tryAdmit(r); refused != nil || err != nil {
 			b.Fatal(refused, err)
@@ -33,7 +34,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		a.leave(enter("run"))
+		a.release(enter("run"))
 	}
 }
 
@@ -47,8 +48,9 @@
 	return s, nil
 }
 
-// BenchmarkRun is a whole attempt over a pipe, answered by a fake engine with
-// one chunk: Start, Admit, body, chunk, End, on a connection of its own.
+// BenchmarkRun measures a whole attempt over a pipe with a fake engine that
+// returns one chunk: Start, Admit, body, chunk and End, on a connection of its
+// own.
 func BenchmarkRun(b *testing.B) {
 	e := newFakeEngine()
 	a := startAgent(b, testConfig(instantEngine{e}))
@@ -62,8 +64,8 @@
 	}
 }
 
-// BenchmarkOpenStreams reports the memory and goroutines of a run that waits for
-// its engine, both ends of its connection included.
+// BenchmarkOpenStreams reports the memory and goroutines of a run that waits
+// for its engine, including both ends of its connection.
 func BenchmarkOpenStreams(b *testing.B) {
 	const streams = 500
 	for b.Loop() {
--- a/agent/body.go
+++ b/agent/body.go
@@ -11,35 +11,36 @@
 )
 
 const (
-	errBodyShort   = errors.ConstError("body shorter than promised")
-	errBodyLong    = errors.ConstError("body longer than promised")
-	errBodyTimeout = errors.ConstError("body did not arrive in time")
-	errBadMessage  = errors.ConstError("body before admission")
+	errBodyShort       = errors.ConstError("body shorter than promised")
+	errBodyLong        = errors.ConstError("body longer than promised")
+	errBodyTimeout     = errors.ConstError("body did not arrive in time")
+	errBodyBeforeAdmit = errors.ConstError("body before admission")
 )
 
-// firstBodyBytes bounds what is allocated on a mere promise of a body.
-const firstBodyBytes = 64 << 10
+// initialBodyCapacity limits the memory allocated for a declared body before
+// its bytes arrive.
+const initialBodyCapacity = 64 << 10
 
-// body collects a request's BodyParts. Its reader goes on after the body and
-// listens for Cancel.
-type body struct {
-	promised uint64
-	data     []byte // written by the reader until done is closed
-	err      error
-	done     chan struct{}
+// bodyReceiver collects a request's BodyParts. Its goroutine keeps receiving
+// after the body is complete, to handle Cancel.
+type bodyReceiver struct {
+	declaredSize uint64
+	data         []byte // written by the receiving goroutine until done is closed
+	err          error
+	done         chan struct{}
 }
 
-func newBody(promised uint64) *body {
-	return &body{promised: promised, done: make(chan struct{})}
+func newBodyReceiver(declaredSize uint64) *bodyReceiver {
+	return &bodyReceiver{declaredSize: declaredSize, done: make(chan struct{})}
 }
 
-// read receives until the entry closes its side or the stream breaks.
-func (b *body) read(r *run) {
+// receive reads messages until the entry closes its side or the stream breaks.
+func (b *bodyReceiver) receive(r *run) {
 	complete := false
 	for {
 		up, err := r.stream.Recv()
 		if err != nil {
-			b.ended(r, complete, err)
+			b.handleRecvError(r, complete, err)
 			return
 		}
 		if up.GetCancel() != nil {
@@ -50,36 +51,37 @@
 			continue
 		}
 		if !r.admitted.Load() {
-			// Its bytes are not yet counted against the bound on all bodies.
-			r.cancel(errBadMessage)
+			// The bytes are not yet counted against MaxTotalBodyBytes.
+			r.cancel(errBodyBeforeAdmit)
 			continue
 		}
-		if complete = b.add(part); complete {
+		if complete = b.appendPart(part); complete {
 			close(b.done)
 		}
 	}
 }
 
-// add appends a part and reports whether the body came to its end.
-func (b *body) add(part *wirepb.BodyPart) bool {
-	if uint64(len(b.data))+uint64(len(part.Data)) > b.promised {
+// appendPart appends a part and reports whether the body has ended.
+func (b *bodyReceiver) appendPart(part *wirepb.BodyPart) bool {
+	if uint64(len(b.data))+uint64(len(part.Data)) > b.declaredSize {
 		b.err = errBodyLong
 		return true
 	}
 	if b.data == nil {
-		b.data = make([]byte, 0, min(b.promised, firstBodyBytes))
+		b.data = make([]byte, 0, min(b.declaredSize, initialBodyCapacity))
 	}
 	b.data = append(b.data, part.Data...)
-	if part.Last && uint64(len(b.data)) < b.promised {
+	if part.Last && uint64(len(b.data)) < b.declaredSize {
 		b.err = errBodyShort
 	}
 	return part.Last
 }
 
-// ended handles the end of the entry's side: a proper close after the body is
-// normal, all else means that the entry is gone. After a proper close nothing
-// more can be received, but the stream may still break.
-func (b *body) ended(r *run, complete bool, err error) {
+// handleRecvError handles the end of the entry's side. A proper close is normal
+// and only leaves an incomplete body too short; any other error means that the
+// entry is gone. After a proper close no message can arrive, but the stream may
+// still break, so it is watched until the run ends.
+func (b *bodyReceiver) handleRecvError(r *run, complete bool, err error) {
 	closed := errors.Is(err, io.EOF)
 	if !closed {
 		r.cancel(errEntryGone)
@@ -98,8 +100,8 @@
 	}
 }
 
-// wait returns the whole body.
-func (b *body) wait(ctx context.Context, timeout time.Duration) ([]byte, error) {
+// wait returns the complete body.
+func (b *bodyReceiver) wait(ctx context.Context, timeout time.Duration) ([]byte, error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
--- a/agent/config.go
+++ b/agent/config.go
@@ -13,54 +13,56 @@
 	"github.com/briarturn/briarturn/lease"
 )
 
-// Config is what an agent needs. Descriptor, Engine and Incarnation must be set.
+// Config configures an agent. Descriptor, Engine and Incarnation must be set.
 type Config struct {
 	Descriptor  backend.Descriptor
 	Incarnation uint64
 	Engine      Engine
 	Limits      Limits
-	Ledger      backend.LedgerConfig // Capacity comes from the descriptor
+	Ledger      backend.LedgerConfig // Capacity is taken from the descriptor
 	Now         func() time.Time     // default time.Now; must be monotonic
 	Logger      logrus.FieldLogger
 	Metrics     metrics.Registry
-	// Quarantined reports whether a fingerprint may not run at all.
+	// Quarantined reports whether requests with a fingerprint must be refused.
 	Quarantined func(fingerprint uint64) bool
-	// OnEngineDeath is told once per death what was running. It must not block;
-	// the channel, if any, is closed once the homes have heard of the death.
-	OnEngineDeath func(death Death) (heard <-chan struct{})
-	// OnChange is told that the descriptor changed. It must not block.
+	// OnEngineDeath is called once per death of the engine, with the requests
+	// that were running. It must not block. The returned channel, if any, is
+	// closed when the home entries have received the death.
+	OnEngineDeath func(death Death) (announced <-chan struct{})
+	// OnChange is called when the descriptor has changed. It must not block.
 	OnChange func()
-	// AwaitDrainPropagation, if given, returns once entries know of an announced drain, or
-	// after a bounded time.
+	// AwaitDrainPropagation, if set, returns when the entries have received an
+	// announced drain, or after a bounded time.
 	AwaitDrainPropagation func(ctx context.Context)
-	// Fences admits or refuses orders by their lease. Without it every order is
-	// refused.
+	// Fences admits or refuses orders by the fence of their lease. Without it
+	// every order is refused.
 	Fences *lease.Gate
-	// ChecksFencing, if given, says whether the engine itself refuses an order with an old
-	// fencing number, also after a restart of its own. An order whose floor
-	// Fences can't learn is then left to the engine's check; else it is refused.
+	// ChecksFencing, if set, reports whether the engine itself rejects an order
+	// with an old fencing number, also after a restart of the engine. An order
+	// whose highest fence Fences can't read is then left to the engine's check;
+	// otherwise it is refused.
 	ChecksFencing func() bool
-	// ConfigVersion and Homes are shown in Status. Both may be nil.
+	// ConfigVersion and Homes are reported by Status. Both may be nil.
 	ConfigVersion func() uint64
 	Homes         func() []string
 }
 
-// Limits bound what an agent takes on. Zero fields take the defaults.
+// Limits limits the work that an agent accepts. Zero fields take the defaults.
 type Limits struct {
-	MaxRunning               int           // runs at a time; default 256
+	MaxRunning               int           // concurrent runs; default 256
 	MaxLongWaiting           int           // long runs that wait for admission; default 8
-	LongPrefillTokens        int64         // long prompts in prefill together; default 400,000
-	LongAdmissionTimeout     time.Duration // a long run waits so long for admission; default 5 s
+	LongPrefillTokens        int64         // total tokens of long prompts in prefill; default 400,000
+	LongAdmissionTimeout     time.Duration // longest wait of a long run for admission; default 5 s
 	MaxRunAloneWaiting       int           // suspects that wait for an idle engine; default 16
-	RunAloneAdmissionTimeout time.Duration // a suspect waits so long, under the entries' LongAdmissionTimeout; default 4 s
-	MaxBodyBytes             uint64        // one request; default 32 MiB
-	MaxTotalBodyBytes        uint64        // bodies of all runs not yet sent on; default 128 MiB
-	BodyTimeout              time.Duration // from Admit to the whole body; default 10 s
-	MaxTimeout               time.Duration // longest time limit; default 24 h, as entries accept
-	SendGrace                time.Duration // to write an End to an entry that doesn't read; default 2 s
-	HealthInterval           time.Duration // between looks at the engine; default 1 s
-	ProbeTimeout             time.Duration // of one look; default 1 s
-	OrderTimeout             time.Duration // default 2 min
+	RunAloneAdmissionTimeout time.Duration // longest wait of a suspect, below the entries' LongAdmissionTimeout; default 4 s
+	MaxBodyBytes             uint64        // body of one request; default 32 MiB
+	MaxTotalBodyBytes        uint64        // bodies of all runs not yet sent to the engine; default 128 MiB
+	BodyTimeout              time.Duration // from Admit to the complete body; default 10 s
+	MaxTimeout               time.Duration // longest time limit of a run; default 24 h, the longest that entries accept
+	SendGrace                time.Duration // time to write an End to an entry that doesn't read; default 2 s
+	HealthInterval           time.Duration // between probes of the engine; default 1 s
+	ProbeTimeout             time.Duration // of one probe; default 1 s
+	OrderTimeout             time.Duration // of the wait for an order's turn, and of its execution; default 2 min
 }
 
 // Defaults of Limits.
@@ -127,7 +129,7 @@
 	c.Limits = c.Limits.withDefaults()
 	c.Ledger.Capacity = c.Descriptor.MemoryTokens
 	if c.Descriptor.Service {
-		// A plain service has no KV memory: each call counts one token.
+		// A plain service has no KV memory: each call counts as one token.
 		c.Ledger.Capacity = int64(c.Limits.MaxRunning)
 	}
 	return c, nil
--- a/agent/drain.go
+++ b/agent/drain.go
@@ -7,56 +7,59 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// AnnounceDrain shows the drain flag in the load from now on and refuses
-// nothing yet: entries that hear of it in time send no work that would have to
+// AnnounceDrain reports the drain in the load from now on, but does not refuse
+// anything yet: entries that receive it in time send no work that would have to
 // be refused.
 func (a *Agent) AnnounceDrain() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.leaving = true
+	a.drainAnnounced = true
 }
 
-// BeginDrain refuses new work from now on. What runs goes on, and so do holds
-// that were granted.
+// BeginDrain refuses new work from now on. Runs in progress and granted holds
+// continue.
 func (a *Agent) BeginDrain(reason string) {
 	a.mu.Lock()
 	first := !a.draining
 	a.draining = true
-	a.noteDrained()
+	a.checkDrainedLocked()
 	a.mu.Unlock()
 	if first {
 		a.cfg.Logger.WithField("reason", reason).Info("draining")
-		a.changedDescriptor()
+		a.notifyDescriptorChanged()
 	}
 }
 
-func (a *Agent) changedDescriptor() {
+func (a *Agent) notifyDescriptorChanged() {
 	if a.cfg.OnChange != nil {
 		a.cfg.OnChange()
 	}
 }
 
-// Drained returns a channel that is closed when the agent drains and nothing
-// runs and nothing is held any more.
+// Drained returns a channel that is closed when the agent is draining and has
+// no runs and no holds left.
 func (a *Agent) Drained() <-chan struct{} { return a.drained }
 
-// noteDrained closes drained when the time has come. Call with mu held.
-func (a *Agent) noteDrained() {
-	if !a.draining || a.drainedDone || len(a.runs) > 0 {
+// checkDrainedLocked closes drained if the drain is complete. Call with mu
+// held.
+func (a *Agent) checkDrainedLocked() {
+	if !a.draining || a.drainedClosed || len(a.runs) > 0 {
 		return
 	}
 	if a.ledger.State().Holds > 0 {
 		return
 	}
-	a.drainedDone = true
+	a.drainedClosed = true
 	close(a.drained)
 }
 
-// DrainGracefully announces the drain, gives entries time to hear of it (Config.AwaitDrainPropagation)
-// and then refuses new work. One that drains already is not announced again.
+// DrainGracefully announces the drain, gives entries time to receive it
+// (Config.AwaitDrainPropagation) and then refuses new work. It does nothing if
+// the agent is already draining.
 //
-// An agent that refuses before it has told costs each request that is on its
-// way, or sent by an entry that hasn't heard, a round trip and a retry.
+// If the agent refused work without an announcement, each request in flight, or
+// sent by an entry that has not received it, would cost a round trip and a
+// retry.
 func (a *Agent) DrainGracefully(ctx context.Context, reason string) {
 	a.mu.Lock()
 	draining := a.draining
@@ -71,13 +74,14 @@
 	a.BeginDrain(reason)
 }
 
-// Drain is DrainGracefully as a call. It goes on if the caller goes away.
+// Drain calls DrainGracefully and returns the status. The drain continues if
+// the caller disconnects.
 func (a *Agent) Drain(ctx context.Context, in *wirepb.DrainRequest) (*wirepb.AgentStatus, error) {
 	a.DrainGracefully(a.ctx, in.Reason)
 	return a.Status(ctx, &wirepb.StatusRequest{})
 }
 
-// Status returns a copy of the agent's state.
+// Status returns a snapshot of the agent's state.
 func (a *Agent) Status(context.Context, *wirepb.StatusRequest) (*wirepb.AgentStatus, error) {
 	out := &wirepb.AgentStatus{Descriptor_: wire.DescriptorMessage(a.Descriptor(), a.cfg.Incarnation)}
 	if a.cfg.ConfigVersion != nil {
@@ -88,8 +92,8 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	out.HighestFence = a.fence
-	out.Load = wire.LoadMessage(a.load())
+	out.HighestFence = a.highestFence
+	out.Load = wire.LoadMessage(a.loadLocked())
 	out.EngineUp = a.engine.up
 	now := a.cfg.Now()
 	for _, r := range a.runs {
@@ -97,7 +101,7 @@
 			RequestId: r.start.RequestId,
 			Entry:     r.start.Entry,
 			AgeMs:     uint64(now.Sub(r.arrived).Milliseconds()),
-			Tokens:    uint64(r.tokens),
+			Tokens:    uint64(r.reservedTokens),
 		})
 	}
 	return out, nil
--- a/agent/end.go
+++ b/agent/end.go
@@ -8,51 +8,52 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// endWith fills in how an attempt ended.
-func (a *Agent) endWith(r *run, err error) {
+// setEnd records how an attempt ended. After an error it also cancels the run
+// at the engine.
+func (a *Agent) setEnd(r *run, err error) {
 	if err == nil {
 		r.end.Code = wirepb.EndCode_END_OK
 		return
 	}
-	r.end.Code = a.endCode(r, err)
+	r.end.Code = a.classifyEnd(r, err)
 	r.end.Detail = err.Error()
-	a.noteUnanswered(r)
-	a.reap(r)
+	a.recordUnansweredRun(r)
+	a.cancelAtEngine(r)
 }
 
-// endCode classifies an error. It clears began where the engine is known not to
-// have run the request.
-func (a *Agent) endCode(r *run, err error) wirepb.EndCode {
+// classifyEnd returns the end code for an error. It clears began if the engine
+// is known not to have run the request.
+func (a *Agent) classifyEnd(r *run, err error) wirepb.EndCode {
 	var status *StatusError
 	switch {
 	case errors.Is(err, ErrUnreachable), errors.Is(err, ErrNotRun):
 		r.began.Store(false)
-		return a.notRunCode(r, err)
+		return a.notRunEndCode(r, err)
 	case r.ctx.Err() != nil:
-		return endOfContext(context.Cause(r.ctx))
+		return contextEndCode(context.Cause(r.ctx))
 	case errors.As(err, &status):
 		r.end.Status = uint32(status.Status)
 		return wirepb.EndCode_END_ENGINE_ERROR
 	case isBodyError(err):
 		return wirepb.EndCode_END_REJECTED
-	case errors.Is(err, errSend), errors.Is(err, errHoldLapsed):
+	case errors.Is(err, errEntryWrite), errors.Is(err, errHoldLapsed):
 		return wirepb.EndCode_END_CANCELLED
 	}
-	return a.brokenCode(r)
+	return a.brokenEndCode(r)
 }
 
-func (a *Agent) notRunCode(r *run, err error) wirepb.EndCode {
+func (a *Agent) notRunEndCode(r *run, err error) wirepb.EndCode {
 	if r.ctx.Err() != nil {
-		return endOfContext(context.Cause(r.ctx))
+		return contextEndCode(context.Cause(r.ctx))
 	}
 	if errors.Is(err, ErrUnreachable) {
-		a.look(a.ctx)
+		a.probe(a.ctx)
 		return wirepb.EndCode_END_ENGINE_DIED
 	}
 	return wirepb.EndCode_END_REJECTED
 }
 
-func endOfContext(cause error) wirepb.EndCode {
+func contextEndCode(cause error) wirepb.EndCode {
 	if errors.Is(cause, errDeadline) {
 		return wirepb.EndCode_END_DEADLINE
 	}
@@ -63,21 +64,22 @@
 	return errors.Is(err, errBodyShort) || errors.Is(err, errBodyLong) || errors.Is(err, errBodyTimeout)
 }
 
-// brokenCode tells a dead engine from a mere broken connection. It names the
-// death where one was shown; an engine that is only silent accuses nobody.
-func (a *Agent) brokenCode(r *run) wirepb.EndCode {
-	a.look(a.ctx)
+// brokenEndCode distinguishes the death of the engine from a broken connection.
+// It sets the death ID only if a death was confirmed: an engine that merely
+// does not respond is no evidence against a request.
+func (a *Agent) brokenEndCode(r *run) wirepb.EndCode {
+	a.probe(a.ctx)
 	a.mu.Lock()
-	broken := a.engine.up && a.engine.boot == r.boot
+	engineAlive := a.engine.up && a.engine.bootID == r.bootID
 	a.mu.Unlock()
-	if broken {
+	if engineAlive {
 		return wirepb.EndCode_END_STREAM_BROKEN
 	}
-	a.awaitEvidence(r.ctx)
+	a.waitForEvidence(r.ctx)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.engine.dead || a.engine.boot != r.boot {
-		r.end.Death = a.deathID(r.boot)
+	if a.engine.deathRecorded || a.engine.bootID != r.bootID {
+		r.end.Death = a.deathID(r.bootID)
 	}
 	return wirepb.EndCode_END_ENGINE_DIED
 }
--- a/agent/engine.go
+++ b/agent/engine.go
@@ -10,21 +10,23 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// Errors of an Engine. Test with errors.Is.
+// Errors of an Engine. Test for them with errors.Is.
 const (
-	// ErrNotRun: the engine refused before running, or nothing was sent to it.
+	// ErrNotRun means that the engine refused the request before running it, or
+	// that nothing was sent to the engine.
 	ErrNotRun = errors.ConstError("engine did not run the request")
-	// ErrUnreachable: no connection could be made; nothing was sent. It is
-	// also a "not run".
+	// ErrUnreachable means that no connection could be made and nothing was
+	// sent, so the request was not run.
 	ErrUnreachable = errors.ConstError("engine unreachable")
-	// ErrBroken: the connection broke after the request was sent, so the
-	// engine may have run it.
+	// ErrBroken means that the connection broke after the request was sent, so
+	// the engine may have run it.
 	ErrBroken = errors.ConstError("engine connection broken")
-	// ErrStaleFence: the engine itself refused an order's fencing number.
+	// ErrStaleFence means that the engine itself rejected an order's fencing
+	// number.
 	ErrStaleFence = errors.ConstError("stale fence")
 )
 
-// StatusError is an answer of the engine with an error status.
+// StatusError is a response of the engine with an error status.
 type StatusError struct {
 	Status  int
 	Message string
@@ -35,21 +37,22 @@
 	return "engine status " + strconv.Itoa(e.Status) + ": " + e.Message
 }
 
-// EngineRun is a request as the engine gets it.
+// EngineRun is a request as it is sent to the engine.
 type EngineRun struct {
-	ID         string // the engine's name for it; one attempt each
+	ID         string // ID of the request at the engine; unique for each attempt
 	Kind       wirepb.Kind
-	Model      string // as the engine names it; empty leaves the body's
-	Body       []byte // the caller's JSON
+	Model      string // name of the model at the engine; empty keeps the name in the body
+	Body       []byte // JSON sent by the caller
 	Priority   int32
 	ResumeFrom uint64
 	PriorText  []byte
 	Group      []*wirepb.GroupMember
 	Segment    uint32
-	Segments   uint32 // size of the group, or what is known of it: over Segment
+	Segments   uint32 // size of the group, at least Segment+1
 }
 
-// EngineChunk is one part of an answer. The last one may carry the usage only.
+// EngineChunk is one part of an answer. The last one may contain only the
+// usage.
 type EngineChunk struct {
 	Data         []byte
 	Tokens       uint32
@@ -58,45 +61,46 @@
 	CachedTokens uint64
 }
 
-// EngineStream is the answer to a run. Next returns io.EOF after the whole
+// EngineStream is the answer to a run. Next returns io.EOF after the complete
 // answer. Close frees the connection and may be called at any time.
 type EngineStream interface {
 	Next() (EngineChunk, error)
 	Close() error
 }
 
-// Segment is an exported part of a prompt's KV.
+// Segment is an exported part of a prompt's KV cache.
 type Segment struct {
 	Handle    string
 	Tokens    uint64
-	PrefillUS uint64 // microseconds the prefill took
+	PrefillUS uint64 // duration of the prefill in microseconds
 }
 
-// EngineRequest is one request that the engine reports: a run, or an exported
+// EngineRequest is a request that the engine reports: a run, or an exported
 // segment if it has a handle.
 type EngineRequest = backend.EngineRequest
 
-// EngineLoad is the engine's own report; it lags.
+// EngineLoad is the load that the engine reports. It lags behind the actual
+// load.
 type EngineLoad struct {
 	UsedTokens int64
 	Requests   []EngineRequest
-	BootID     string // changes when the engine restarted
+	BootID     string // changes when the engine restarts
 }
 
-// EngineInventory is what the engine has loaded and its role. Versions are 0 and
-// the role is empty where the engine doesn't tell them.
+// EngineInventory lists what the engine has loaded, and its role. Versions are
+// 0 and the role is empty if the engine does not report them.
 type EngineInventory struct {
 	Weights []backend.Weights
 	Role    backend.Role
 }
 
-// EngineOrder is an order as passed on to the engine.
+// EngineOrder is an order as it is sent to the engine.
 type EngineOrder struct {
 	Action, Model, Adapter, Version, Role, Lease string
 	Fence                                        uint64
 }
 
-// ServiceCall is a call of a plain service.
+// ServiceCall is a call to a plain service.
 type ServiceCall struct {
 	ID      string
 	Method  string
@@ -105,8 +109,8 @@
 	Body    []byte
 }
 
-// ServiceStream is the answer of a plain service. Next returns io.EOF after the
-// whole body; its slice is valid until the next call.
+// ServiceStream is the response of a plain service. Next returns io.EOF after
+// the complete body; its slice is valid until the next call.
 type ServiceStream interface {
 	Status() uint32
 	Headers() []*wirepb.Header
@@ -114,9 +118,9 @@
 	Close() error
 }
 
-// Engine is the backend server as the agent uses it. A context that ends stops
-// a call. Errors are those above, or a *StatusError; any other counts as
-// ErrBroken.
+// Engine is the agent's interface to the backend server. Cancelling the context
+// stops a call. Methods return the errors above or a *StatusError; any other
+// error is handled as ErrBroken.
 type Engine interface {
 	Run(ctx context.Context, run *EngineRun) (EngineStream, error)
 	Service(ctx context.Context, call *ServiceCall) (ServiceStream, error)
@@ -126,6 +130,6 @@
 	Order(ctx context.Context, order EngineOrder) error
 	Health(ctx context.Context) error
 	Load(ctx context.Context) (EngineLoad, error)
-	// Inventory lists what the engine has loaded. It must not lag.
+	// Inventory returns what the engine has loaded. It must not lag.
 	Inventory(ctx context.Context) (EngineInventory, error)
 }
--- a/agent/failure_test.go
+++ b/agent/failure_test.go
@@ -13,12 +13,11 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// Symptom: a prompt that kills engines is not found out.
-// Sequence: two requests run; the engine dies; both connections break, one after
-// the other; it comes back.
-// Cause: each run leaves the table as its connection breaks, before the death is
-// known, and only what is still there would be accused.
-func TestEngineDeathAccusesAllThatRan(t *testing.T) {
+// A prompt that kills engines must be identified. When the engine dies, both
+// connections break one after the other, and each run leaves the table before
+// the death is known. All of these runs must be listed as suspects, not only
+// those still in the table.
+func TestEngineDeathListsAllRunningRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newFakeEngine()
 		cfg := testConfig(e)
@@ -47,10 +46,10 @@
 	})
 }
 
-// Symptom: a death goes unseen and its prompt kills on.
-// Sequence: the engine dies and is back before anybody looks.
-// Cause: its health is good before and after; only its boot differs.
-func TestFastRestartIsADeath(t *testing.T) {
+// The engine dies and restarts before the next probe. Its health is good before
+// and after; only its boot ID differs. An undetected death would let its prompt
+// go on to kill more engines.
+func TestFastRestartCountsAsDeath(t *testing.T) {
 	withAgent(t, func(t *testing.T, e *fakeEngine, a *Agent) {
 		at := begin(t, a, chatStart("1"))
 		synctest.Wait()
@@ -65,10 +64,9 @@
 	})
 }
 
-// Symptom: an innocent prompt is quarantined.
-// Sequence: a connection to a living engine breaks.
-// Cause: a broken connection looks like a death.
-func TestBrokenConnectionIsNoDeath(t *testing.T) {
+// A connection to a living engine breaks. This must not count as a death, or a
+// harmless prompt is quarantined.
+func TestBrokenConnectionIsNotADeath(t *testing.T) {
 	withAgent(t, func(t *testing.T, e *fakeEngine, a *Agent) {
 		at := begin(t, a, chatStart("1"))
 		synctest.Wait()
@@ -76,18 +74,18 @@
 		expectEnd(t, at.end(), wirepb.EndCode_END_STREAM_BROKEN, true)
 		synctest.Wait()
 		if a.LastDeath().ID != 0 || !e.wasCanceled("1.1") {
-			t.Fatal("living engine accused, or run not cancelled")
+			t.Fatal("living engine reported dead, or run not cancelled")
 		}
 		expectFree(t, a)
 	})
 }
 
-// Symptom: an innocent prompt is quarantined; or a prompt that hangs engines is
-// never found out.
-// Sequence: an engine doesn't answer for some seconds, and a run reaches its
-// time limit meanwhile. Then it goes on as before; or it was restarted.
-// Cause: a pause and a death look alike until the boot is known.
-func TestSilentEngineIsJudgedByItsBoot(t *testing.T) {
+// An engine does not respond for some seconds, and a run reaches its time limit
+// meanwhile. Then the engine continues as before, or it has restarted. A pause
+// and a death look the same until the boot ID is known: a pause must not
+// quarantine a harmless prompt, and a prompt that hangs engines must be
+// identified.
+func TestUnresponsiveEngineIsClassifiedByBootID(t *testing.T) {
 	for boot, accused := range map[string]int{"1": 0, "2": 2} {
 		withAgent(t, func(t *testing.T, e *fakeEngine, a *Agent) {
 			short := chatStart("short")
@@ -112,10 +110,10 @@
 	}
 }
 
-// Symptom: a refusal that is not true, or a needless "unknown".
-// Sequence: the engine dies between Admit and the request.
-// Cause: nothing was sent, so the End must say that it did not begin.
-func TestUnreachableEngineIsNotRun(t *testing.T) {
+// The engine dies between Admit and the request. Nothing was sent, so the End
+// must report that the run did not begin: neither a false refusal nor an
+// unknown outcome.
+func TestUnreachableEngineReportsNotRun(t *testing.T) {
 	withAgent(t, func(t *testing.T, e *fakeEngine, a *Agent) {
 		at := open(t, a, chatStart("1"))
 		at.recv()
@@ -125,20 +123,20 @@
 	})
 }
 
-// garbage encodes any message as bytes that are no protobuf.
-type garbage struct{}
+// invalidEncoding encodes every message as bytes that are not valid protobuf.
+type invalidEncoding struct{}
 
-func (garbage) Marshal(drpc.Message) ([]byte, error)     { return []byte{0xff, 0xff, 0xff}, nil }
-func (garbage) Unmarshal(_ []byte, _ drpc.Message) error { return nil }
+func (invalidEncoding) Marshal(drpc.Message) ([]byte, error)     { return []byte{0xff, 0xff, 0xff}, nil }
+func (invalidEncoding) Unmarshal(_ []byte, _ drpc.Message) error { return nil }
 
-// Symptom: a run goes on that nobody can cancel.
-// Sequence: after the body, bytes arrive that are no message.
-// Cause: the reader of Cancel ends with an error while the connection lives.
-func TestGarbageEndsRun(t *testing.T) {
+// Invalid bytes arrive after the body. They end the goroutine that receives
+// Cancel while the connection stays open, so the run must end: nothing could
+// cancel it any more.
+func TestInvalidMessageEndsRun(t *testing.T) {
 	withAgent(t, func(t *testing.T, e *fakeEngine, a *Agent) {
 		at := begin(t, a, chatStart("r"))
 		synctest.Wait()
-		if err := at.stream.MsgSend(nil, garbage{}); err != nil {
+		if err := at.stream.MsgSend(nil, invalidEncoding{}); err != nil {
 			t.Fatal(err)
 		}
 		expectEnd(t, at.end(), wirepb.EndCode_END_CANCELLED, true)
@@ -146,13 +144,13 @@
 	})
 }
 
-// Symptom: an engine's memory fills with runs and segments that nobody reads.
-// Sequence: an agent dies and a new one starts beside the same engine.
-// Cause: what the engine runs outlives the agent that asked for it.
+// An agent dies and a new one starts beside the same engine. Runs at the engine
+// outlive the agent that sent them, so the new agent must free runs and
+// segments that nobody reads; otherwise they fill the engine's memory.
 func TestRestartedAgentCancelsLeftovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newFakeEngine()
-		e.used = 5000
+		e.usedTokens = 5000
 		e.requests = []EngineRequest{{ID: "old.1"}, {ID: "seg.1", Handle: "kv"}}
 		a := startAgent(t, testConfig(e))
 		synctest.Wait()
@@ -160,10 +158,10 @@
 			t.Fatal("leftovers not freed")
 		}
 		if l := a.Load(); l.Used != 5000 {
-			t.Fatalf("memory of leftovers offered to others: %+v", l)
+			t.Fatalf("memory of leftover runs reported as free: %+v", l)
 		}
 		e.mu.Lock()
-		e.used, e.requests = 0, nil
+		e.usedTokens, e.requests = 0, nil
 		e.mu.Unlock()
 		time.Sleep(2 * time.Second)
 		if l := a.Load(); l.Used != 0 {
@@ -172,12 +170,13 @@
 	})
 }
 
-// Symptom: a model is unloaded that its present owner has just loaded.
-// Sequence: a lease holder is paused; a successor gives an order under fence 8;
-// the first wakes and sends its own under fence 7. Then the agent restarts and
-// the first sends again; then the store can't be read.
-// Cause: the engine doesn't check fences, and a new agent has forgotten them.
-func TestPausedHolderIsFenced(t *testing.T) {
+// A lease holder is paused; its successor gives an order under fence 8; the
+// first resumes and sends its own under fence 7. Then the agent restarts and
+// the first sends again; then the store can't be read. The engine doesn't check
+// fences and a new agent has no record of them, so the agent must refuse each
+// stale order. Otherwise a model is unloaded that its current owner has just
+// loaded.
+func TestPausedLeaseHolderIsFenced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newFakeEngine()
 		cfg := testConfig(e)
@@ -185,10 +184,10 @@
 		putLease(t, store, 0, 0)
 		cfg.Fences = lease.NewGate(store)
 		a := startAgent(t, cfg)
-		if out := order(t, a, 8, actionLoad); !out.Done || out.HighestFence != 8 {
+		if out := orderTestModel(t, a, 8, actionLoad); !out.Done || out.HighestFence != 8 {
 			t.Fatal(out)
 		}
-		if out := order(t, a, 7, actionUnload); out.Code != wirepb.RefuseCode_REFUSE_STALE_FENCE || out.HighestFence != 8 {
+		if out := orderTestModel(t, a, 7, actionUnload); out.Code != wirepb.RefuseCode_REFUSE_STALE_FENCE || out.HighestFence != 8 {
 			t.Fatal(out)
 		}
 		if d := a.Descriptor(); len(d.Models) != 2 {
@@ -197,13 +196,13 @@
 		putLease(t, store, 1, 8)
 		cfg.Fences = lease.NewGate(store)
 		restarted := startAgent(t, cfg)
-		if out := order(t, restarted, 7, actionUnload); out.Code != wirepb.RefuseCode_REFUSE_STALE_FENCE {
+		if out := orderTestModel(t, restarted, 7, actionUnload); out.Code != wirepb.RefuseCode_REFUSE_STALE_FENCE {
 			t.Fatal(out)
 		}
 		store.SetFaults(standinobjectapi.Faults{Down: true})
 		cfg.Fences = lease.NewGate(store)
 		blind := startAgent(t, cfg)
-		if out := order(t, blind, 9, actionUnload); out.Done || out.Code != wirepb.RefuseCode_REFUSE_BUSY {
+		if out := orderTestModel(t, blind, 9, actionUnload); out.Done || out.Code != wirepb.RefuseCode_REFUSE_BUSY {
 			t.Fatal(out)
 		}
 		if len(e.orders) != 1 {
@@ -212,13 +211,12 @@
 	})
 }
 
-// Symptom: while the object API is down no rollout goes on, though the engines
-// refuse stale orders themselves; or a stale order takes a model out of service
-// for minutes.
-// Sequence: a new agent gets orders under a lease that it can't read: one for
-// an idle model, one for a model with requests, one that the engine refuses.
-// Cause: the agent takes itself for the only fence.
-func TestEngineThatChecksIsTheFenceInAnOutage(t *testing.T) {
+// A new agent gets orders under a lease that it can't read because the object
+// API is down: one for an idle model, one for a model with requests, one that
+// the engine refuses. If the engine itself refuses stale orders, the agent must
+// pass orders on, or no rollout continues during the outage. A stale order must
+// not take a model out of service for minutes.
+func TestEngineChecksFencesDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newFakeEngine()
 		cfg := testConfig(e)
@@ -226,29 +224,29 @@
 		store := standinobjectapi.NewMemory(standinobjectapi.Config{})
 		cfg.Fences = lease.NewGate(store)
 		a := startAgent(t, cfg)
-		if out := order(t, a, 9, actionLoad); out.Done {
-			t.Fatalf("carried out under a lease that isn't on record: %v", out)
+		if out := orderTestModel(t, a, 9, actionLoad); out.Done {
+			t.Fatalf("order executed under a lease that does not exist: %v", out)
 		}
 		store.SetFaults(standinobjectapi.Faults{Down: true})
-		if out := order(t, a, 9, actionLoad); !out.Done || len(e.orders) != 1 || e.orders[0].Fence != 9 {
+		if out := orderTestModel(t, a, 9, actionLoad); !out.Done || len(e.orders) != 1 || e.orders[0].Fence != 9 {
 			t.Fatalf("%v, engine got %+v", out, e.orders)
 		}
 		unload := &wirepb.OrderRequest{Fence: 8, Action: actionUnload, Model: "briar"}
 		at := begin(t, a, chatStart("r"))
 		synctest.Wait()
-		if out := give(t, a, unload); out.Code != wirepb.RefuseCode_REFUSE_BUSY || len(e.orders) != 1 {
+		if out := sendOrder(t, a, unload); out.Code != wirepb.RefuseCode_REFUSE_BUSY || len(e.orders) != 1 {
 			t.Fatalf("%v, engine got %+v", out, e.orders)
 		}
 		close(e.stream("r.1").chunks)
 		expectEnd(t, at.end(), wirepb.EndCode_END_OK, true)
 		e.mu.Lock()
-		e.refuseOrders = ErrStaleFence
+		e.orderErr = ErrStaleFence
 		e.mu.Unlock()
-		if out := give(t, a, unload); out.Code != wirepb.RefuseCode_REFUSE_STALE_FENCE {
+		if out := sendOrder(t, a, unload); out.Code != wirepb.RefuseCode_REFUSE_STALE_FENCE {
 			t.Fatal(out)
 		}
-		if a.tryRefuse(chatStart("s")) != wirepb.RefuseCode_REFUSE_UNSPECIFIED {
-			t.Fatal("the model no longer takes requests after a stale order")
+		if a.servedRefuseCode(chatStart("s")) != wirepb.RefuseCode_REFUSE_UNSPECIFIED {
+			t.Fatal("the model no longer accepts requests after a stale order")
 		}
 	})
 }
@@ -259,9 +257,9 @@
 	return s
 }
 
-// Symptom: an engine loses memory for good, a segment at a time.
-// Sequence: an entry holds, has a segment prefilled, and dies; its hold expires.
-// Cause: an exported segment has no connection whose end would free it.
+// An entry takes a hold, has a segment prefilled and dies; its hold expires. An
+// exported segment has no connection whose end would free it, so the end of the
+// hold must free it; otherwise the engine loses this memory permanently.
 func TestSegmentIsFreedWithItsHold(t *testing.T) {
 	withAgent(t, func(t *testing.T, e *fakeEngine, a *Agent) {
 		client, _ := dial(t, a)
@@ -285,14 +283,13 @@
 	})
 }
 
-// Symptom: as above.
-// Sequence: the hold is released while the engine still prefills the segment,
-// and the engine answers after that.
-// Cause: the handle becomes known when its hold is already gone.
+// The hold is released while the engine still prefills the segment, and the
+// engine returns the handle after that. The segment must be freed although its
+// hold is already gone.
 func TestSegmentOfReleasedHoldIsFreed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newFakeEngine()
-		e.segment = make(chan struct{})
+		e.segmentReady = make(chan struct{})
 		a := startAgent(t, testConfig(e))
 		client, _ := dial(t, a)
 		hold := &wirepb.HoldRequest{HoldId: "h", Entry: "entry-a", EntryIncarnation: 1, Tokens: 500, TtlMs: 5000}
@@ -305,21 +302,21 @@
 		if _, err := client.ReleaseHolds(context.Background(), refs); err != nil {
 			t.Fatal(err)
 		}
-		close(e.segment)
+		close(e.segmentReady)
 		expectEnd(t, at.end(), wirepb.EndCode_END_CANCELLED, true)
 		synctest.Wait()
 		expectFree(t, a)
 		if !e.wasFreed("kv-s.1") {
-			t.Fatal("the engine keeps the segment")
+			t.Fatal("segment not freed at the engine")
 		}
 	})
 }
 
-// Symptom: a dead entry's runs go on until their time limits.
-// Sequence: an entry's VM vanishes without closing its connections; its
-// successor is heard.
-// Cause: no packet says that the old streams are dead.
-func TestNewIncarnationOfAnEntryEndsTheOldRuns(t *testing.T) {
+// An entry's VM vanishes without closing its connections, and its successor
+// connects. No packet reports the end of the old streams, so the new
+// incarnation must end the old runs; otherwise they continue until their time
+// limits.
+func TestNewEntryIncarnationEndsOldRuns(t *testing.T) {
 	withAgent(t, func(t *testing.T, e *fakeEngine, a *Agent) {
 		begin(t, a, chatStart("old"))
 		synctest.Wait()
@@ -328,23 +325,22 @@
 		begin(t, a, next)
 		synctest.Wait()
 		if !e.wasCanceled("old.1") || a.Load().Running != 1 {
-			t.Fatal("the old incarnation's run goes on")
+			t.Fatal("run of the old incarnation not ended")
 		}
 	})
 }
 
-// Symptom: long prompts wait though the operator has raised the pool's share.
-// Sequence: long prompts fill the bound; the declared share rises.
-// Cause: the bound is fixed at the start, or nobody wakes those that wait.
-func TestRaisedShareLetsWaitingLongPromptsIn(t *testing.T) {
+// Long prompts fill the limit, then the declared share rises. The agent must
+// apply the new limit at once and wake the waiting prompts.
+func TestRaisedLimitAdmitsWaitingLongPrompts(t *testing.T) {
 	withAgent(t, func(t *testing.T, _ *fakeEngine, a *Agent) {
 		a.mu.Lock()
 		a.prefill.add(true, 900)
-		before, waiting := a.prefill.admits(200), a.changed
+		before, waiting := a.prefill.admitsLong(200), a.stateChanged
 		a.mu.Unlock()
 		a.SetLongPrefillTokens(1_100)
 		a.mu.Lock()
-		after := a.prefill.admits(200)
+		after := a.prefill.admitsLong(200)
 		a.prefill.add(true, -900)
 		a.mu.Unlock()
 		if before || !after {
@@ -353,25 +349,25 @@
 		select {
 		case <-waiting:
 		default:
-			t.Error("those that wait were not woken")
+			t.Error("waiting prompts were not notified")
 		}
 	})
 }
 
-// Symptom: each drain by an operator costs requests a refusal and a retry.
-// Sequence: an entry passes on an operator's order to drain; entries that
-// haven't heard of it send work. The order comes twice, as --wait gives it.
-// Cause: the order refuses at once, unlike SIGTERM, which announces first.
-func TestOrderedDrainIsAnnouncedFirst(t *testing.T) {
+// An entry passes on an operator's drain request, and entries that have not
+// received the announcement send work. The drain must be announced before work
+// is refused, as for SIGTERM; otherwise each drain costs requests a refusal and
+// a retry. The request arrives twice, as with --wait.
+func TestDrainRequestIsAnnouncedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newFakeEngine()
 		cfg := testConfig(e)
 		var a *Agent
-		told := 0
+		announcements := 0
 		cfg.AwaitDrainPropagation = func(context.Context) {
-			told++
+			announcements++
 			if !a.Load().Draining {
-				t.Error("entries can't hear of it")
+				t.Error("drain not visible in the load")
 			}
 			at := begin(t, a, chatStart("late"))
 			synctest.Wait()
@@ -385,8 +381,8 @@
 				t.Fatal(status, err)
 			}
 		}
-		if told != 1 {
-			t.Errorf("told %d times", told)
+		if announcements != 1 {
+			t.Errorf("announced %d times", announcements)
 		}
 		<-a.Drained()
 	})
--- a/agent/fake_test.go
+++ b/agent/fake_test.go
@@ -21,24 +21,25 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// fakeEngine answers each run with the chunks that the test hands to its stream.
+// fakeEngine answers each run with the chunks that the test sends to its
+// stream.
 type fakeEngine struct {
-	mu       sync.Mutex // guards all below
-	boot     string
-	down     error // of Health and Load
-	requests []EngineRequest
-	used     int64
-	streams  map[string]*fakeStream
-	runs     []*EngineRun
-	canceled map[string]bool
-	freed    map[string]bool
-	orders   []EngineOrder
-
-	refuseOrders error // the answer to orders
+	mu         sync.Mutex // guards all fields below
+	boot       string
+	down       error // returned by all methods except Order and Service
+	requests   []EngineRequest
+	usedTokens int64
+	streams    map[string]*fakeStream
+	runs       []*EngineRun
+	canceled   map[string]bool
+	freed      map[string]bool
+	orders     []EngineOrder
+
+	orderErr     error // result of Order
 	weights      []backend.Weights
-	segment      chan struct{}   // if set, PrefillSegment waits for it
-	live         map[string]bool // runs and segments in its memory
-	sent         map[string]bool // attempts that reached it, or may have
+	segmentReady chan struct{}   // if set, PrefillSegment waits for it
+	live         map[string]bool // runs and segments in the engine's memory
+	sent         map[string]bool // attempts that reached the engine, or may have
 }
 
 func newFakeEngine() *fakeEngine {
@@ -58,9 +59,10 @@
 	ctx    context.Context
 	chunks chan EngineChunk
 	broken chan struct{}
-	// finished ends the answer properly; whole notes that it did (under mu).
-	finished chan struct{}
-	whole    bool
+	// finished ends the answer normally; completed records that
+	// it did and is guarded by fakeEngine.mu.
+	finished  chan struct{}
+	completed bool
 }
 
 func (s *fakeStream) Next() (EngineChunk, error) {
@@ -84,7 +86,7 @@
 func (e *fakeEngine) Run(ctx context.Context, run *EngineRun) (EngineStream, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := e.take(run.ID); err != nil {
+	if err := e.recordAttempt(run.ID); err != nil {
 		return nil, err
 	}
 	e.live[run.ID] = true
@@ -94,8 +96,8 @@
 	return s, nil
 }
 
-// take notes an attempt that reaches the engine. Call with mu held.
-func (e *fakeEngine) take(id string) error {
+// recordAttempt records an attempt that reaches the engine. Call with mu held.
+func (e *fakeEngine) recordAttempt(id string) error {
 	if !errors.Is(e.down, ErrUnreachable) {
 		e.sent[id] = true
 	}
@@ -109,12 +111,12 @@
 }
 
 func (e *fakeEngine) PrefillSegment(_ context.Context, run *EngineRun) (Segment, error) {
-	if e.segment != nil {
-		<-e.segment
+	if e.segmentReady != nil {
+		<-e.segmentReady
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := e.take(run.ID); err != nil {
+	if err := e.recordAttempt(run.ID); err != nil {
 		return Segment{}, err
 	}
 	e.live["kv-"+run.ID] = true
@@ -147,7 +149,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.orders = append(e.orders, order)
-	return e.refuseOrders
+	return e.orderErr
 }
 
 func (e *fakeEngine) Health(context.Context) error {
@@ -159,7 +161,7 @@
 func (e *fakeEngine) Load(context.Context) (EngineLoad, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return EngineLoad{UsedTokens: e.used, Requests: e.requests, BootID: e.boot}, e.down
+	return EngineLoad{UsedTokens: e.usedTokens, Requests: e.requests, BootID: e.boot}, e.down
 }
 
 func (e *fakeEngine) Inventory(context.Context) (EngineInventory, error) {
@@ -194,7 +196,7 @@
 	return e.freed[handle]
 }
 
-func (e *fakeEngine) started() []*EngineRun {
+func (e *fakeEngine) startedRuns() []*EngineRun {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs
@@ -224,7 +226,7 @@
 	return a
 }
 
-// withAgent runs a test in virtual time, with an agent beside a fake engine.
+// withAgent runs a test in virtual time, with an agent and a fake engine.
 func withAgent(t *testing.T, test func(t *testing.T, e *fakeEngine, a *Agent)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -240,7 +242,8 @@
 	return client, closeConn
 }
 
-// dialServed is dial with a channel that is closed when the agent's end is done.
+// dialServed is dial with a channel that is closed when the agent's side has
+// ended.
 func dialServed(t testing.TB, a *Agent) (client wirepb.DRPCAgentClient, closeConn func(), served chan struct{}) {
 	t.Helper()
 	mux := drpcmux.New()
@@ -272,13 +275,13 @@
 	}
 }
 
-// attempt is one Run as an entry sees it.
+// attempt is one Run call on the entry's side.
 type attempt struct {
-	t      testing.TB
-	stream wirepb.DRPCAgent_RunClient
-	close  func()          // breaks the connection
-	turn   chan struct{}   // holds a token while somebody sends from beside
-	served <-chan struct{} // closed when the agent is done with the connection
+	t        testing.TB
+	stream   wirepb.DRPCAgent_RunClient
+	close    func()          // breaks the connection
+	sendSlot chan struct{}   // semaphore held by a concurrent sender
+	served   <-chan struct{} // closed when the agent has finished with the connection
 }
 
 func open(t testing.TB, a *Agent, start *wirepb.Start) *attempt {
@@ -288,7 +291,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := &attempt{t: t, stream: stream, close: closeConn, served: served, turn: make(chan struct{}, 1)}
+	at := &attempt{t: t, stream: stream, close: closeConn, served: served, sendSlot: make(chan struct{}, 1)}
 	at.send(&wirepb.RunUp{Body: &wirepb.RunUp_Start{Start: start}})
 	return at
 }
@@ -300,12 +303,12 @@
 	}
 }
 
-// sendBeside sends without failing the test. It waits for its turn on a channel:
-// a wait for drpc's own mutex would stop the bubble's clock.
-func (at *attempt) sendBeside(up *wirepb.RunUp) {
-	at.turn <- struct{}{}
+// sendConcurrently sends without failing the test. It serializes senders with a
+// channel: blocking on drpc's own mutex would stop the virtual clock.
+func (at *attempt) sendConcurrently(up *wirepb.RunUp) {
+	at.sendSlot <- struct{}{}
 	_ = at.stream.Send(up)
-	<-at.turn
+	<-at.sendSlot
 }
 
 func (at *attempt) recv() *wirepb.RunDown {
@@ -331,7 +334,7 @@
 	}
 }
 
-// begin is open, Admit and body.
+// begin opens an attempt, waits for Admit and sends the body.
 func begin(t testing.TB, a *Agent, start *wirepb.Start) *attempt {
 	t.Helper()
 	at := open(t, a, start)
@@ -362,21 +365,21 @@
 	s := a.ledger.State()
 	l := a.Load()
 	a.mu.Lock()
-	bodies := a.bodies
+	bodies := a.bufferedBodyBytes
 	a.mu.Unlock()
 	if s.Held+s.Used != 0 || l.Running != 0 || l.PrefillShort+l.PrefillLong != 0 || bodies != 0 {
 		t.Fatalf("not all freed: %+v, %+v, bodies %d", s, l, bodies)
 	}
 }
 
-// expectStopped waits until all is quiet; the run must be gone, here and at the
-// engine.
+// expectStopped waits until all goroutines are blocked and checks that the run
+// is gone, at the agent and at the engine.
 func expectStopped(t testing.TB, e *fakeEngine, a *Agent, run string) {
 	t.Helper()
 	synctest.Wait()
 	expectFree(t, a)
 	if !e.wasCanceled(run) {
-		t.Fatal("engine still runs it")
+		t.Fatal("run not cancelled at the engine")
 	}
 }
 
--- a/agent/health.go
+++ b/agent/health.go
@@ -9,20 +9,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxBroken bounds the list of runs that broke under an engine which doesn't
-// answer.
-const maxBroken = 1024
+// maxPendingSuspects limits the list of runs that ended while the engine did
+// not respond.
+const maxPendingSuspects = 1024
 
-// evidenceWait bounds how long an attempt's end waits for the homes to hear of
-// the engine's death. One call between VMs of a region takes a few milliseconds.
-const evidenceWait = 250 * time.Millisecond
+// evidenceTimeout limits how long the end of an attempt waits until the home
+// entries have received the engine's death. One call between VMs of a region
+// takes a few milliseconds.
+const evidenceTimeout = 250 * time.Millisecond
 
-// engineState is what the last look at the engine showed. Guarded by Agent.mu.
+// engineState is the result of the last probe of the engine. Guarded by
+// Agent.mu.
 type engineState struct {
-	up     bool
-	dead   bool   // its death was recorded; ends when it answers again
-	reason string // why it is not up
-	boot   string
+	up            bool
+	deathRecorded bool   // the death has been recorded; reset when the engine responds again
+	downReason    string // why the engine is not up
+	bootID        string
 }
 
 // Suspect is a request that was running when an engine died.
@@ -31,53 +33,54 @@
 	Workspace   string
 	Entry       string
 	Fingerprint uint64
-	Alone       bool // nothing else ran: the evidence is strong
+	Alone       bool // nothing else was running: the evidence is strong
 
-	id string // of the run
+	runID string // ID of the run at the engine
 }
 
-// Death is one death of the engine and what it may have died of.
+// Death is one death of the engine, with the requests that may have caused it.
 type Death struct {
-	ID       uint64 // differs between deaths, equal in all reports of one
+	ID       uint64 // differs between deaths, equal in all reports of one death
 	Server   string
 	At       time.Time
 	Suspects []Suspect
 }
 
-func suspectOf(r *run) Suspect {
+func newSuspect(r *run) Suspect {
 	return Suspect{
 		RequestID:   r.start.RequestId,
 		Workspace:   r.start.Workspace,
 		Entry:       r.start.Entry,
 		Fingerprint: r.start.Fingerprint,
 		Alone:       r.start.Alone,
-		id:          r.id,
+		runID:       r.id,
 	}
 }
 
-// noteUnanswered remembers a run that ended while the engine didn't answer. Its
-// death may be known only later, and the guilty one would have left the table by
-// then: one would see deaths that accuse nobody.
-func (a *Agent) noteUnanswered(r *run) {
+// recordUnansweredRun records a run that ended while the engine did not
+// respond. The engine's death may be confirmed only later, when the run has
+// left the table: without this, the death would have no suspects.
+func (a *Agent) recordUnansweredRun(r *run) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	silent := !a.engine.up && !a.engine.dead && r.boot == a.engine.boot
-	if silent && r.began.Load() && len(a.broken) < maxBroken {
-		a.broken = append(a.broken, suspectOf(r))
+	unresponsive := !a.engine.up && !a.engine.deathRecorded && r.bootID == a.engine.bootID
+	if unresponsive && r.began.Load() && len(a.pendingSuspects) < maxPendingSuspects {
+		a.pendingSuspects = append(a.pendingSuspects, newSuspect(r))
 	}
 }
 
-// look asks the engine for its health and load, and acts on what changed.
-func (a *Agent) look(parent context.Context) {
-	before := a.looks.Load()
-	a.probing.Lock()
-	defer a.probing.Unlock()
-	if a.looks.Load() > before {
-		// Another look began and ended meanwhile. Without this, all runs of an
-		// engine that hangs would look one after the other, past their limits.
+// probe requests the engine's health and load and handles changes.
+func (a *Agent) probe(parent context.Context) {
+	before := a.probesStarted.Load()
+	a.probeMu.Lock()
+	defer a.probeMu.Unlock()
+	if a.probesStarted.Load() > before {
+		// Another probe started and ended in the meantime. Without this check,
+		// all runs of a hanging engine would probe it one after the other and
+		// exceed their time limits.
 		return
 	}
-	a.looks.Add(1)
+	a.probesStarted.Add(1)
 	ctx, cancel := context.WithTimeout(parent, a.cfg.Limits.ProbeTimeout)
 	defer cancel()
 	err := a.cfg.Engine.Health(ctx)
@@ -89,28 +92,28 @@
 		return
 	}
 	if err != nil {
-		a.engineFailed(err)
+		a.handleProbeFailure(err)
 		return
 	}
-	a.engineAnswered(load)
-	a.list(ctx, load.BootID)
+	a.handleProbeSuccess(load)
+	a.refreshInventory(ctx, load.BootID)
 }
 
-// engineFailed notes that the engine didn't answer. Only a refused connection
-// shows a death: a paused engine is silent too, and accusing what it runs would
-// in the end quarantine innocent requests. If it was a death after all, the
-// changed boot shows it later.
-func (a *Agent) engineFailed(err error) {
+// handleProbeFailure records that the engine did not respond. Only a refused
+// connection proves a death: a paused engine does not respond either, and
+// listing its runs as suspects would eventually quarantine harmless requests.
+// If the engine did die, its changed boot ID shows that later.
+func (a *Agent) handleProbeFailure(err error) {
 	a.mu.Lock()
 	wasUp := a.engine.up
 	a.engine.up = false
-	a.engine.reason = err.Error()
+	a.engine.downReason = err.Error()
 	refused := errors.Is(err, ErrUnreachable)
-	died := refused && !a.engine.dead && a.engine.boot != ""
+	died := refused && !a.engine.deathRecorded && a.engine.bootID != ""
 	var death Death
 	if died {
-		a.engine.dead = true
-		death = a.recordDeath()
+		a.engine.deathRecorded = true
+		death = a.recordDeathLocked()
 	}
 	a.mu.Unlock()
 	if wasUp {
@@ -121,18 +124,18 @@
 	}
 }
 
-func (a *Agent) engineAnswered(load EngineLoad) {
+func (a *Agent) handleProbeSuccess(load EngineLoad) {
 	a.mu.Lock()
 	wasUp := a.engine.up
-	restarted := a.engine.boot != "" && a.engine.boot != load.BootID
-	died := restarted && !a.engine.dead
+	restarted := a.engine.bootID != "" && a.engine.bootID != load.BootID
+	died := restarted && !a.engine.deathRecorded
 	var death Death
 	if died {
-		// It died and came back between two looks.
-		death = a.recordDeath()
+		// The engine died and restarted between two probes.
+		death = a.recordDeathLocked()
 	}
-	a.engine = engineState{up: true, boot: load.BootID}
-	a.broken = nil
+	a.engine = engineState{up: true, bootID: load.BootID}
+	a.pendingSuspects = nil
 	a.mu.Unlock()
 	if !wasUp {
 		a.cfg.Logger.WithField("server", a.cfg.Descriptor.Name).Info("engine up")
@@ -147,11 +150,11 @@
 	a.reconcile(load)
 }
 
-// reconcile frees what the engine has and nobody here knows of: leftovers of an
-// agent that died, or of a cancel that was lost.
+// reconcile frees runs and segments that the engine has and the ledger does
+// not: leftovers of an agent that died, or of a lost cancel.
 func (a *Agent) reconcile(load EngineLoad) {
 	for _, orphan := range a.ledger.Reconcile(load.UsedTokens, load.Requests) {
-		a.counter.orphans.Inc(1)
+		a.counters.orphans.Inc(1)
 		if orphan.Handle != "" {
 			a.reaper.freeSegment(orphan.Handle)
 			continue
@@ -160,27 +163,28 @@
 	}
 }
 
-// recordDeath collects the suspects. Call with mu held.
-func (a *Agent) recordDeath() Death {
+// recordDeathLocked records the engine's death and collects the suspects. Call
+// with mu held.
+func (a *Agent) recordDeathLocked() Death {
 	known := map[string]bool{}
 	var suspects []Suspect
-	accuse := func(s Suspect) {
-		if !known[s.id] {
-			known[s.id] = true
+	addSuspect := func(s Suspect) {
+		if !known[s.runID] {
+			known[s.runID] = true
 			suspects = append(suspects, s)
 		}
 	}
-	for _, s := range a.broken {
-		accuse(s)
+	for _, s := range a.pendingSuspects {
+		addSuspect(s)
 	}
-	a.broken = nil
+	a.pendingSuspects = nil
 	for _, r := range a.runs {
-		if r.began.Load() && r.boot == a.engine.boot {
-			accuse(suspectOf(r))
+		if r.began.Load() && r.bootID == a.engine.bootID {
+			addSuspect(newSuspect(r))
 		}
 	}
 	a.lastDeath = Death{
-		ID:       a.deathID(a.engine.boot),
+		ID:       a.deathID(a.engine.bootID),
 		Server:   a.cfg.Descriptor.Name,
 		At:       a.cfg.Now(),
 		Suspects: suspects,
@@ -188,46 +192,48 @@
 	return a.lastDeath
 }
 
-// deathID names the death that ended one boot of the engine. The entries that
-// hear of it from an End and those that hear of it as evidence must count it once.
-func (a *Agent) deathID(boot string) uint64 {
-	return xxhash.Sum64String(a.cfg.Descriptor.Name + "\x00" + boot)
+// deathID identifies the death that ended one boot of the engine. Entries that
+// receive it in an End and entries that receive it as evidence must count one
+// death.
+func (a *Agent) deathID(bootID string) uint64 {
+	return xxhash.Sum64String(a.cfg.Descriptor.Name + "\x00" + bootID)
 }
 
 func (a *Agent) reportDeath(death Death) {
-	a.counter.deaths.Inc(1)
+	a.counters.deaths.Inc(1)
 	a.cfg.Logger.WithField("server", death.Server).WithField("running", len(death.Suspects)).
 		Warn("engine died")
 	if a.cfg.OnEngineDeath == nil {
 		return
 	}
-	heard := a.cfg.OnEngineDeath(death)
+	announced := a.cfg.OnEngineDeath(death)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.deathHeard = heard
+	a.deathAnnounced = announced
 }
 
-// awaitEvidence waits until the homes have heard of the last death. The caller
-// of a prompt that kills sends it again as soon as it has its answer, through
-// another entry. If that entry had not heard of the death yet, it would give the
-// prompt one more engine; one would see three engines lost instead of two.
-func (a *Agent) awaitEvidence(ctx context.Context) {
+// waitForEvidence waits until the home entries have received the last death.
+// The caller of a prompt that kills engines sends it again through another
+// entry as soon as it has its answer. An entry that has not received the death
+// would place the prompt on one more engine: three engines would be lost
+// instead of two.
+func (a *Agent) waitForEvidence(ctx context.Context) {
 	a.mu.Lock()
-	heard := a.deathHeard
+	announced := a.deathAnnounced
 	a.mu.Unlock()
-	if heard == nil {
+	if announced == nil {
 		return
 	}
-	limit := time.NewTimer(evidenceWait)
+	limit := time.NewTimer(evidenceTimeout)
 	defer limit.Stop()
 	select {
-	case <-heard:
+	case <-announced:
 	case <-limit.C:
 	case <-ctx.Done():
 	}
 }
 
-// LastDeath returns the engine's last death since the agent started; its ID is
+// LastDeath returns the engine's last death since the agent started. Its ID is
 // zero if there was none.
 func (a *Agent) LastDeath() Death {
 	a.mu.Lock()
--- a/agent/http_test.go
+++ b/agent/http_test.go
@@ -40,8 +40,8 @@
 	return string(body)
 }
 
-// ask sends a prompt in two parts.
-func ask(t testing.TB, a *Agent, id, prompt string, tokens int) *attempt {
+// sendPrompt sends a prompt in two parts.
+func sendPrompt(t testing.TB, a *Agent, id, prompt string, tokens int) *attempt {
 	t.Helper()
 	body := chatBody(prompt, tokens)
 	start := chatStart(id)
@@ -55,9 +55,9 @@
 	return at
 }
 
-func TestAnswerOverHTTPIsWhole(t *testing.T) {
+func TestAnswerOverHTTPIsComplete(t *testing.T) {
 	server, a := startEngine(t)
-	at := ask(t, a, "r", "a notice", 20)
+	at := sendPrompt(t, a, "r", "a notice", 20)
 	text, next := "", uint64(0)
 	for {
 		down := at.recv()
@@ -103,22 +103,22 @@
 	return text.String()
 }
 
-// Symptom: a prompt that kills engines is answered as a broken connection.
-// Sequence: a real HTTP engine dies on it; its port refuses connections.
-// Cause: the end of the stream alone doesn't tell death from a broken link.
-func TestKillingPromptOverHTTP(t *testing.T) {
+// A real HTTP engine dies on a prompt, and its port refuses connections. The
+// end of the stream alone doesn't distinguish a death from a broken connection,
+// so the prompt could be reported as a broken connection.
+func TestEngineDeathOverHTTP(t *testing.T) {
 	_, a := startEngine(t)
-	expectEnd(t, ask(t, a, "r", "KILL", 20).end(), wirepb.EndCode_END_ENGINE_DIED, true)
+	expectEnd(t, sendPrompt(t, a, "r", "KILL", 20).end(), wirepb.EndCode_END_ENGINE_DIED, true)
 	if d := a.LastDeath(); len(d.Suspects) != 1 || d.Suspects[0].RequestID != "r" {
 		t.Fatalf("%+v", d)
 	}
 	expectRefusal(t, open(t, a, chatStart("s")), wirepb.RefuseCode_REFUSE_ENGINE_DOWN)
 }
 
-// Symptom: an engine loses memory for good, a segment at a time.
-// Sequence: a segment is exported; its hold is released; the agent may end
-// before it has told the engine, and a new one starts.
-// Cause: the order to free it was in the memory of the agent that ended.
+// A segment is exported and its hold is released, but the agent may end before
+// it has sent the request to free it: pending requests are only in its memory.
+// The next agent must free the segment, or the engine loses this memory
+// permanently.
 func TestSegmentIsFreedOverHTTP(t *testing.T) {
 	server, a := startEngine(t)
 	client, _ := dial(t, a)
@@ -135,11 +135,11 @@
 	if _, err := client.ReleaseHolds(context.Background(), refs); err != nil {
 		t.Fatal(err)
 	}
-	a.Close() // waits for the worker that frees the segment, or drops it
+	a.Close() // waits for the worker, which frees the segment or drops the request
 	next := startAgent(t, a.cfg)
-	next.look(next.ctx)
+	next.probe(next.ctx)
 	for server.Counters().Exported != 0 {
-		next.look(next.ctx)
+		next.probe(next.ctx)
 	}
 }
 
--- a/agent/httpengine.go
+++ b/agent/httpengine.go
@@ -15,23 +15,24 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// serviceReadBytes is the size of one piece of a plain service's answer.
+// serviceReadBytes is the size of the read buffer for a plain service's
+// response.
 const serviceReadBytes = 32 << 10
 
-// httpEngine is an Engine over the HTTP client.
+// httpEngine implements Engine with the HTTP client.
 type httpEngine struct {
 	client  *engine.Client
 	service bool
 }
 
-// NewHTTPEngine makes an Engine of an HTTP client. Service says that a plain service
-// is behind it.
+// NewHTTPEngine returns an Engine that uses an HTTP client. service is true if
+// the backend server is a plain service.
 func NewHTTPEngine(client *engine.Client, service bool) Engine {
 	return &httpEngine{client: client, service: service}
 }
 
-// typed gives an error of the client the agent's type.
-func typed(err error) error {
+// mapError converts an error of the HTTP client to the errors of this package.
+func mapError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -67,7 +68,7 @@
 		KVGroup:       groupMembers(run.Group),
 	})
 	if err != nil {
-		return nil, typed(err)
+		return nil, mapError(err)
 	}
 	return &httpStream{stream}, nil
 }
@@ -88,7 +89,7 @@
 		return EngineChunk{}, io.EOF
 	}
 	if err != nil {
-		return EngineChunk{}, typed(err)
+		return EngineChunk{}, mapError(err)
 	}
 	usage := s.stream.Usage()
 	return EngineChunk{
@@ -111,7 +112,7 @@
 		Text:      string(run.Body),
 	})
 	if err != nil {
-		return Segment{}, typed(err)
+		return Segment{}, mapError(err)
 	}
 	return Segment{
 		Handle:    done.Handle,
@@ -133,20 +134,20 @@
 		ContentLength: int64(len(call.Body)),
 	})
 	if err != nil {
-		return nil, typed(err)
+		return nil, mapError(err)
 	}
-	return &httpService{resp: resp, buffer: make([]byte, serviceReadBytes)}, nil
+	return &httpServiceStream{resp: resp, buffer: make([]byte, serviceReadBytes)}, nil
 }
 
-type httpService struct {
+type httpServiceStream struct {
 	resp   *engine.ServiceResponse
 	buffer []byte
-	err    error // of the last read, told after its bytes
+	err    error // error of the last read, returned after its bytes
 }
 
-func (s *httpService) Status() uint32 { return uint32(s.resp.Status) }
+func (s *httpServiceStream) Status() uint32 { return uint32(s.resp.Status) }
 
-func (s *httpService) Headers() []*wirepb.Header {
+func (s *httpServiceStream) Headers() []*wirepb.Header {
 	var out []*wirepb.Header
 	for name, values := range s.resp.Header {
 		for _, value := range values {
@@ -156,7 +157,7 @@
 	return out
 }
 
-func (s *httpService) Next() ([]byte, error) {
+func (s *httpServiceStream) Next() ([]byte, error) {
 	for s.err == nil {
 		var n int
 		n, s.err = s.resp.Body.Read(s.buffer)
@@ -170,27 +171,27 @@
 	return nil, errors.WithType(s.err, ErrBroken)
 }
 
-func (s *httpService) Close() error { return s.resp.Body.Close() }
+func (s *httpServiceStream) Close() error { return s.resp.Body.Close() }
 
 func (e *httpEngine) FreeSegment(ctx context.Context, handle string) error {
-	return typed(e.client.FreeSegment(ctx, handle))
+	return mapError(e.client.FreeSegment(ctx, handle))
 }
 
 func (e *httpEngine) Cancel(ctx context.Context, id string) error {
-	return typed(e.client.Cancel(ctx, id))
+	return mapError(e.client.Cancel(ctx, id))
 }
 
 func (e *httpEngine) Order(ctx context.Context, o EngineOrder) error {
-	return typed(e.client.Order(ctx, &engine.Order{
+	return mapError(e.client.Order(ctx, &engine.Order{
 		Action: o.Action, Model: o.Model, Adapter: o.Adapter, Version: o.Version,
 		Role: o.Role, Lease: o.Lease, Fence: o.Fence,
 	}))
 }
 
-// Health asks the engine. A plain service need not know the path: any answer
-// below 500 shows that it lives.
+// Health checks the engine. A plain service need not implement the path: any
+// response with a status below 500 shows that it is alive.
 func (e *httpEngine) Health(ctx context.Context) error {
-	err := typed(e.client.Health(ctx))
+	err := mapError(e.client.Health(ctx))
 	var status *StatusError
 	if e.service && errors.As(err, &status) && status.Status < http.StatusInternalServerError {
 		return nil
@@ -201,7 +202,7 @@
 func (e *httpEngine) Inventory(ctx context.Context) (EngineInventory, error) {
 	models, err := e.client.Models(ctx)
 	if err != nil {
-		return EngineInventory{}, typed(err)
+		return EngineInventory{}, mapError(err)
 	}
 	out := EngineInventory{Role: backend.Role(models.Role)}
 	for _, m := range models.Data {
@@ -217,7 +218,7 @@
 func (e *httpEngine) Load(ctx context.Context) (EngineLoad, error) {
 	load, err := e.client.Load(ctx)
 	if err != nil {
-		return EngineLoad{}, typed(err)
+		return EngineLoad{}, mapError(err)
 	}
 	out := EngineLoad{UsedTokens: load.Used, BootID: load.BootID}
 	for _, r := range load.Requests {
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -9,15 +9,15 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// counters are the agent's counts since its start.
+// counters are the agent's counters since its start.
 type counters struct {
 	registry    metrics.Registry
-	admitted    metrics.Counter // agent.admitted: runs let in
-	overgrown   metrics.Counter // agent.overgrown: chunks of runs that use more than they reserved
-	orphans     metrics.Counter // agent.orphans: runs of the engine that nobody here knew
+	admitted    metrics.Counter // agent.admitted: admitted runs
+	overgrown   metrics.Counter // agent.overgrown: chunks of runs that use more tokens than they reserved
+	orphans     metrics.Counter // agent.orphans: runs and segments at the engine that the ledger does not have
 	deaths      metrics.Counter // agent.engine_deaths
-	orders      metrics.Counter // agent.orders: orders carried out
-	staleFences metrics.Counter // agent.stale_fences: orders refused for their fence
+	orders      metrics.Counter // agent.orders: executed orders
+	staleFences metrics.Counter // agent.stale_fences: orders refused because of a stale fence
 }
 
 func newCounters(r metrics.Registry) counters {
@@ -32,19 +32,20 @@
 	}
 }
 
-// refused counts refusals by code, as agent.refused.CODE.
+// refused returns the counter of refusals with a code, agent.refused.CODE.
 func (c counters) refused(code wirepb.RefuseCode) metrics.Counter {
 	name := strings.ToLower(strings.TrimPrefix(code.String(), "REFUSE_"))
 	return metrics.GetOrRegisterCounter("agent.refused."+name, c.registry)
 }
 
-// ended counts ends by code, as agent.ended.CODE.
+// ended returns the counter of ends with a code, agent.ended.CODE.
 func (c counters) ended(code wirepb.EndCode) metrics.Counter {
 	name := strings.ToLower(strings.TrimPrefix(code.String(), "END_"))
 	return metrics.GetOrRegisterCounter("agent.ended."+name, c.registry)
 }
 
-// exportGauges registers the ledger's totals, in tokens, and the runs.
+// exportGauges registers gauges of the ledger's runs, holds and tokens, and of
+// the limit of long prefill.
 func (a *Agent) exportGauges(r metrics.Registry) {
 	gauge := func(name string, value func(backend.LedgerState) int64) {
 		read := func() int64 { return value(a.ledger.State()) }
--- a/agent/order_test.go
+++ b/agent/order_test.go
@@ -18,8 +18,8 @@
 
 const testLease = "l"
 
-// putLease writes the lease's object as a holder of a fence would; version is
-// that of the object before, 0 for none.
+// putLease writes the lease object as the holder of a fence would; version is
+// the object's previous version, 0 to create it.
 func putLease(t *testing.T, store *standinobjectapi.Memory, version, fence uint64) {
 	t.Helper()
 	data := json.RawMessage(`{"fence":` + strconv.FormatUint(fence, 10) + `}`)
@@ -34,12 +34,12 @@
 	}
 }
 
-func order(t *testing.T, a *Agent, fence uint64, action string) *wirepb.OrderResponse {
+func orderTestModel(t *testing.T, a *Agent, fence uint64, action string) *wirepb.OrderResponse {
 	t.Helper()
-	return give(t, a, &wirepb.OrderRequest{Fence: fence, Action: action, Model: "m2"})
+	return sendOrder(t, a, &wirepb.OrderRequest{Fence: fence, Action: action, Model: "m2"})
 }
 
-func give(t *testing.T, a *Agent, in *wirepb.OrderRequest) *wirepb.OrderResponse {
+func sendOrder(t *testing.T, a *Agent, in *wirepb.OrderRequest) *wirepb.OrderResponse {
 	t.Helper()
 	in.Lease = testLease
 	out, err := a.Order(context.Background(), in)
@@ -49,7 +49,7 @@
 	return out
 }
 
-func fencedAgent(t *testing.T, e *fakeEngine) *Agent {
+func startFencedAgent(t *testing.T, e *fakeEngine) *Agent {
 	store := standinobjectapi.NewMemory(standinobjectapi.Config{})
 	putLease(t, store, 0, 0)
 	cfg := testConfig(e)
@@ -57,19 +57,19 @@
 	return startAgent(t, cfg)
 }
 
-// Symptom: requests go to an engine that no longer has their model, for good.
-// Sequence: a model is loaded by order; the engine restarts and comes back with
-// nothing. Cause: the descriptor is what orders made it, not what the engine has.
+// A model is loaded by an order; then the engine restarts without it. The
+// descriptor must follow what the engine has, not what was ordered; otherwise
+// the engine gets requests for a model that it no longer has.
 func TestDescriptorFollowsRestartedEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newFakeEngine()
-		a := fencedAgent(t, e)
+		a := startFencedAgent(t, e)
 		load := &wirepb.OrderRequest{Fence: 8, Action: actionLoad, Model: "m2", Version: "3"}
-		if out := give(t, a, load); !out.Done {
+		if out := sendOrder(t, a, load); !out.Done {
 			t.Fatal(out)
 		}
 		want := backend.Weights{Name: "m2", Version: backend.VersionKey("3")}
-		if d := a.Descriptor(); !takesRequests(&d, "m2") || d.Weights[1] != want {
+		if d := a.Descriptor(); !acceptsRequests(&d, "m2") || d.Weights[1] != want {
 			t.Fatalf("%+v", d)
 		}
 		e.mu.Lock()
@@ -79,14 +79,15 @@
 		if d := a.Descriptor(); len(d.Models)+len(d.Weights) > 0 {
 			t.Fatalf("%+v", d)
 		}
-		if refused := a.tryRefuse(chatStart("r")); refused != wirepb.RefuseCode_REFUSE_NOT_SERVED {
+		if refused := a.servedRefuseCode(chatStart("r")); refused != wirepb.RefuseCode_REFUSE_NOT_SERVED {
 			t.Fatal(refused)
 		}
 	})
 }
 
-// tryRefuse says how a request would be refused now.
-func (a *Agent) tryRefuse(start *wirepb.Start) wirepb.RefuseCode {
+// servedRefuseCode returns the code with which a request would be refused now
+// because of its pool, model or adapter.
+func (a *Agent) servedRefuseCode(start *wirepb.Start) wirepb.RefuseCode {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if refused := checkServed(a, &run{start: start}); refused != nil {
@@ -95,53 +96,54 @@
 	return wirepb.RefuseCode_REFUSE_UNSPECIFIED
 }
 
-// Symptom: an answer breaks off when a new version of its model is rolled out.
-// Sequence: a request runs; the order to replace the model comes. Cause: the
-// engine drops the weights under it.
+// The order to replace a model comes while a request uses the model. The engine
+// drops the weights when it gets the order, so the order must wait for the
+// request; otherwise the answer breaks off.
 func TestReplacedModelDrainsFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newFakeEngine()
-		a := fencedAgent(t, e)
+		a := startFencedAgent(t, e)
 		at := begin(t, a, chatStart("r"))
 		synctest.Wait()
 		done := make(chan *wirepb.OrderResponse, 1)
 		go func() {
-			done <- give(t, a, &wirepb.OrderRequest{Fence: 8, Action: actionLoad, Model: "briar", Version: "2"})
+			done <- sendOrder(t, a, &wirepb.OrderRequest{Fence: 8, Action: actionLoad, Model: "briar", Version: "2"})
 		}()
 		synctest.Wait()
 		if len(e.orders) > 0 {
-			t.Fatal("the engine was told while the request ran")
+			t.Fatal("the order reached the engine while the request ran")
 		}
-		if a.tryRefuse(chatStart("s")) != wirepb.RefuseCode_REFUSE_NOT_SERVED {
-			t.Fatal("new requests are still taken")
+		if a.servedRefuseCode(chatStart("s")) != wirepb.RefuseCode_REFUSE_NOT_SERVED {
+			t.Fatal("new requests are still accepted")
 		}
 		close(e.stream("r.1").chunks)
 		expectEnd(t, at.end(), wirepb.EndCode_END_OK, true)
 		if out := <-done; !out.Done {
 			t.Fatal(out)
 		}
-		if a.tryRefuse(chatStart("s")) != wirepb.RefuseCode_REFUSE_UNSPECIFIED {
-			t.Fatal("the new version takes no requests")
+		if a.servedRefuseCode(chatStart("s")) != wirepb.RefuseCode_REFUSE_UNSPECIFIED {
+			t.Fatal("the new version accepts no requests")
 		}
-		if out := give(t, a, &wirepb.OrderRequest{Fence: 8, Action: actionLoad, Model: "briar", Version: "2"}); !out.Done || len(e.orders) != 1 {
+		if out := sendOrder(t, a, &wirepb.OrderRequest{Fence: 8, Action: actionLoad, Model: "briar", Version: "2"}); !out.Done || len(e.orders) != 1 {
 			t.Fatalf("%v, %d orders reached the engine", out, len(e.orders))
 		}
 	})
 }
 
-// Symptom: a model whose unloading was given up is thought to be gone, or gets
-// requests that keep it from ever being unloaded. Sequence: a request outlasts
-// the order's time limit; the order is given again after it has ended.
+// A request outlasts the time limit of an order to unload its model; the order
+// is repeated after the request has ended. Until then the model must remain
+// listed as loaded, but accept no requests, which could keep it from ever being
+// unloaded.
 func TestWithdrawnModelStaysWithdrawn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newFakeEngine()
-		a := fencedAgent(t, e)
+		a := startFencedAgent(t, e)
 		start := chatStart("r")
 		start.TimeoutMs = uint64((10 * time.Minute).Milliseconds())
 		at := begin(t, a, start)
 		synctest.Wait()
 		unload := &wirepb.OrderRequest{Fence: 8, Action: actionUnload, Model: "briar"}
-		if out := give(t, a, unload); out.Done || out.Code != wirepb.RefuseCode_REFUSE_BUSY {
+		if out := sendOrder(t, a, unload); out.Done || out.Code != wirepb.RefuseCode_REFUSE_BUSY {
 			t.Fatal(out)
 		}
 		d := a.Descriptor()
@@ -150,7 +152,7 @@
 		}
 		close(e.stream("r.1").chunks)
 		expectEnd(t, at.end(), wirepb.EndCode_END_OK, true)
-		if out := give(t, a, unload); !out.Done || len(e.orders) != 1 {
+		if out := sendOrder(t, a, unload); !out.Done || len(e.orders) != 1 {
 			t.Fatalf("%v, %d orders", out, len(e.orders))
 		}
 	})
--- a/agent/random_test.go
+++ b/agent/random_test.go
@@ -17,7 +17,7 @@
 	randomFirst = flag.Uint64("agent.seed", 1, "first seed")
 )
 
-// chaos drives an agent with entries that die, stall and cancel, and an engine
+// chaos runs an agent with entries that die, stall and cancel, and an engine
 // that dies, hangs and breaks connections, all from one seed.
 type chaos struct {
 	t        *testing.T
@@ -31,7 +31,7 @@
 
 const chaosSteps = 80
 
-// chaosEnd is how one attempt ended, by the engine's name for it.
+// chaosEnd is the End of one attempt, with the attempt's ID at the engine.
 type chaosEnd struct {
 	id  string
 	end *wirepb.End
@@ -100,7 +100,7 @@
 	c.launch(s)
 }
 
-// launch opens an attempt. One in four entries never reads after Admit.
+// launch opens an attempt. One in four never reads after Admit.
 func (c *chaos) launch(start *wirepb.Start) {
 	at := open(c.t, c.agent, start)
 	c.attempts = append(c.attempts, at)
@@ -116,7 +116,7 @@
 			body = "bo"
 		}
 		part := &wirepb.BodyPart{Data: []byte(body), Last: true}
-		at.sendBeside(&wirepb.RunUp{Body: &wirepb.RunUp_Part{Part: part}})
+		at.sendConcurrently(&wirepb.RunUp{Body: &wirepb.RunUp_Part{Part: part}})
 		for !stalls {
 			down, err := at.stream.Recv()
 			if err != nil {
@@ -130,12 +130,12 @@
 	}()
 }
 
-func (c *chaos) anyStream() *fakeStream {
+func (c *chaos) randomStream() *fakeStream {
 	c.engine.mu.Lock()
 	defer c.engine.mu.Unlock()
 	var live []*fakeStream
 	for _, run := range c.engine.runs {
-		if s := c.engine.streams[run.ID]; !s.whole && !s.isBroken() && s.ctx.Err() == nil {
+		if s := c.engine.streams[run.ID]; !s.completed && !s.isBroken() && s.ctx.Err() == nil {
 			live = append(live, s)
 		}
 	}
@@ -155,7 +155,7 @@
 }
 
 func (c *chaos) chunk(int) {
-	if s := c.anyStream(); s != nil {
+	if s := c.randomStream(); s != nil {
 		select {
 		case s.chunks <- EngineChunk{Data: []byte("x"), Tokens: uint32(c.rnd.IntN(40))}:
 		default:
@@ -164,11 +164,11 @@
 }
 
 func (c *chaos) finish(int) {
-	if s := c.anyStream(); s != nil {
+	if s := c.randomStream(); s != nil {
 		select {
 		case s.finished <- struct{}{}:
 			c.engine.mu.Lock()
-			s.whole = true
+			s.completed = true
 			delete(c.engine.live, s.id)
 			c.engine.mu.Unlock()
 		default:
@@ -177,12 +177,12 @@
 }
 
 func (c *chaos) connectionBreaks(int) {
-	if s := c.anyStream(); s != nil {
+	if s := c.randomStream(); s != nil {
 		close(s.broken)
 	}
 }
 
-func (c *chaos) anyAttempt() *attempt {
+func (c *chaos) randomAttempt() *attempt {
 	if len(c.attempts) == 0 {
 		return nil
 	}
@@ -190,13 +190,13 @@
 }
 
 func (c *chaos) cancel(int) {
-	if at := c.anyAttempt(); at != nil {
-		go at.sendBeside(&wirepb.RunUp{Body: &wirepb.RunUp_Cancel{Cancel: &wirepb.Cancel{}}})
+	if at := c.randomAttempt(); at != nil {
+		go at.sendConcurrently(&wirepb.RunUp{Body: &wirepb.RunUp_Cancel{Cancel: &wirepb.Cancel{}}})
 	}
 }
 
 func (c *chaos) entryDies(int) {
-	if at := c.anyAttempt(); at != nil {
+	if at := c.randomAttempt(); at != nil {
 		at.close()
 	}
 }
@@ -234,9 +234,9 @@
 	c.launch(s)
 }
 
-// settle ends all faults and checks that nothing is left once every time limit
-// and hold is past: no memory, no run, and nothing in the engine. Whether an
-// attempt began must have been told as it was.
+// settle ends all faults and checks that nothing is left when every time limit
+// and hold has expired: no memory, no run, and nothing in the engine. Each End
+// must have reported correctly whether its attempt began.
 func (c *chaos) settle() {
 	c.setEngine(nil, false)
 	time.Sleep(30 * time.Second)
@@ -256,7 +256,7 @@
 	close(c.ends)
 	for e := range c.ends {
 		if e.end.Began != c.engine.sent[e.id] {
-			c.t.Fatalf("%s sent %v, told %v", e.id, c.engine.sent[e.id], e.end)
+			c.t.Fatalf("%s: sent %v, End reports %v", e.id, c.engine.sent[e.id], e.end)
 		}
 	}
 }
--- a/agent/reaper.go
+++ b/agent/reaper.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// maxPending bounds the calls that wait for an engine which doesn't answer. An
-// engine with so many lost runs has to be restarted, which frees them all.
-const maxPending = 4096
+// maxPendingCalls limits the calls that wait for an engine which doesn't
+// respond. An engine with so many lost runs has to be restarted, which frees
+// them all.
+const maxPendingCalls = 4096
 
-// reaper frees what the engine may still have: it cancels runs and frees
-// segments, and tries again until the engine confirms or restarts. A lost
-// cancel would otherwise leave memory taken for ever.
+// reaper cancels runs and frees segments that the engine may still have, and
+// retries until the engine confirms or restarts. A lost cancel would otherwise
+// leave memory allocated forever.
 type reaper struct {
 	engine  Engine
 	timeout time.Duration
-	wake    chan struct{}
+	wakeup  chan struct{}
 
-	mu       sync.Mutex // guards cancels and segments; a leaf
+	mu       sync.Mutex // guards cancels and segments; no other lock is taken under it
 	cancels  map[string]bool
 	segments map[string]bool
 }
@@ -27,7 +28,7 @@
 	return &reaper{
 		engine:   engine,
 		timeout:  timeout,
-		wake:     make(chan struct{}, 1),
+		wakeup:   make(chan struct{}, 1),
 		cancels:  map[string]bool{},
 		segments: map[string]bool{},
 	}
@@ -35,24 +36,24 @@
 
 func (p *reaper) cancel(id string)          { p.add(p.cancels, id) }
 func (p *reaper) freeSegment(handle string) { p.add(p.segments, handle) }
-func (p *reaper) add(to map[string]bool, id string) {
+func (p *reaper) add(set map[string]bool, id string) {
 	p.mu.Lock()
-	if len(to) < maxPending {
-		to[id] = true
+	if len(set) < maxPendingCalls {
+		set[id] = true
 	}
 	p.mu.Unlock()
-	p.retry()
+	p.trigger()
 }
 
-// retry has the worker try everything pending.
-func (p *reaper) retry() {
+// trigger has the worker process everything pending.
+func (p *reaper) trigger() {
 	select {
-	case p.wake <- struct{}{}:
+	case p.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// reset forgets everything: the engine restarted and has none of it.
+// reset drops everything pending: the engine restarted and has none of it.
 func (p *reaper) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -60,32 +61,32 @@
 	clear(p.segments)
 }
 
-func (p *reaper) pending(of map[string]bool) []string {
+func (p *reaper) pending(set map[string]bool) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	ids := make([]string, 0, len(of))
-	for id := range of {
+	ids := make([]string, 0, len(set))
+	for id := range set {
 		ids = append(ids, id)
 	}
 	return ids
 }
 
-func (p *reaper) work(ctx context.Context) {
+func (p *reaper) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.wake:
-			p.try(ctx, p.cancels, p.engine.Cancel)
-			p.try(ctx, p.segments, p.engine.FreeSegment)
+		case <-p.wakeup:
+			p.callPending(ctx, p.cancels, p.engine.Cancel)
+			p.callPending(ctx, p.segments, p.engine.FreeSegment)
 		}
 	}
 }
 
-// try calls the engine for each pending id and stops at the first failure; the
-// next tick of the watch goes on.
-func (p *reaper) try(ctx context.Context, of map[string]bool, call func(context.Context, string) error) {
-	for _, id := range p.pending(of) {
+// callPending calls the engine for each pending ID and stops at the first
+// failure; the next tick of Agent.maintain retries the rest.
+func (p *reaper) callPending(ctx context.Context, set map[string]bool, call func(context.Context, string) error) {
+	for _, id := range p.pending(set) {
 		limited, cancel := context.WithTimeout(ctx, p.timeout)
 		err := call(limited, id)
 		cancel()
@@ -93,7 +94,7 @@
 			return
 		}
 		p.mu.Lock()
-		delete(of, id)
+		delete(set, id)
 		p.mu.Unlock()
 	}
 }
--- a/agent/relay.go
+++ b/agent/relay.go
@@ -9,16 +9,16 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// errSend: the entry's stream broke while a chunk was written.
-const errSend = errors.ConstError("could not write to the entry")
+// errEntryWrite means that the entry's stream broke while a chunk was written.
+const errEntryWrite = errors.ConstError("could not write to the entry")
 
-// relayRun sends the request to the engine and its chunks to the entry, one at a
-// time: while the entry doesn't read, the engine isn't read either, so that a
-// slow caller costs no memory here.
+// relayRun sends the request to the engine and its chunks to the entry, one at
+// a time: while the entry doesn't read, the engine isn't read either, so that a
+// slow caller uses no memory in the agent.
 func (a *Agent) relayRun(r *run, data []byte) error {
 	r.began.Store(true)
-	stream, err := a.cfg.Engine.Run(r.ctx, engineRun(r, data))
-	a.bodySent(r)
+	stream, err := a.cfg.Engine.Run(r.ctx, newEngineRun(r, data))
+	a.releaseBody(r)
 	r.body.data = nil
 	if err != nil {
 		return err
@@ -37,7 +37,7 @@
 			return err
 		}
 		if first {
-			a.prefillDone(r)
+			a.finishPrefill(r)
 			first = false
 		}
 		if err := a.relayChunk(r, chunk); err != nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-func engineRun(r *run, data []byte) *EngineRun {
+func newEngineRun(r *run, data []byte) *EngineRun {
 	s := r.start
 	return &EngineRun{
 		ID:         r.id,
@@ -62,8 +62,9 @@
 	}
 }
 
-// engineModel is what the engine serves the request under: an adapter has a name
-// of its own, and a caller may have named the pool.
+// engineModel returns the model name under which the engine serves the request.
+// It may differ from the name in the body: an adapter has its own name, and a
+// caller may have named the pool.
 func engineModel(s *wirepb.Start) string {
 	if s.Adapter != "" {
 		return s.Adapter
@@ -72,32 +73,33 @@
 }
 
 func (a *Agent) relayChunk(r *run, c EngineChunk) error {
-	a.count(r, c)
+	a.recordUsage(r, c)
 	if len(c.Data) == 0 {
 		return nil
 	}
 	msg := &wirepb.Chunk{Sequence: r.end.Chunks, Data: c.Data, Tokens: c.Tokens}
 	r.end.Chunks++
 	if err := r.send(&wirepb.RunDown{Body: &wirepb.RunDown_Chunk{Chunk: msg}}); err != nil {
-		return errors.WithType(err, errSend)
+		return errors.WithType(err, errEntryWrite)
 	}
 	return nil
 }
 
-// count keeps the usage and lets the ledger follow the engine's memory. The
-// output is what the engine reported, or what the chunks say so far.
-func (a *Agent) count(r *run, c EngineChunk) {
-	r.outputSoFar += uint64(c.Tokens)
+// recordUsage updates the usage and the memory that the ledger counts for the
+// run. The output is what the engine reported, or the tokens of the chunks so
+// far if that is more.
+func (a *Agent) recordUsage(r *run, c EngineChunk) {
+	r.streamedTokens += uint64(c.Tokens)
 	r.end.PromptTokens = max(r.end.PromptTokens, c.PromptTokens)
 	r.end.CachedTokens = max(r.end.CachedTokens, c.CachedTokens)
-	r.end.OutputTokens = max(r.end.OutputTokens, c.OutputTokens, r.outputSoFar)
-	prompt := max(r.prompt, int64(r.end.PromptTokens))
+	r.end.OutputTokens = max(r.end.OutputTokens, c.OutputTokens, r.streamedTokens)
+	prompt := max(r.promptTokens, int64(r.end.PromptTokens))
 	if err := a.ledger.UpdateUsage(r.id, prompt+int64(r.end.OutputTokens)); err != nil {
-		a.counter.overgrown.Inc(1)
+		a.counters.overgrown.Inc(1)
 	}
 }
 
-// relayService calls a plain service and relays its answer.
+// relayService calls a plain service and relays its response.
 func (a *Agent) relayService(r *run, data []byte) error {
 	r.began.Store(true)
 	stream, err := a.cfg.Engine.Service(r.ctx, &ServiceCall{
@@ -107,7 +109,7 @@
 		Headers: r.start.Headers,
 		Body:    data,
 	})
-	a.bodySent(r)
+	a.releaseBody(r)
 	r.body.data = nil
 	if err != nil {
 		return err
@@ -118,7 +120,7 @@
 	r.end.Status = stream.Status()
 	head := &wirepb.Head{Status: stream.Status(), Headers: stream.Headers()}
 	if err := r.send(&wirepb.RunDown{Body: &wirepb.RunDown_Head{Head: head}}); err != nil {
-		return errors.WithType(err, errSend)
+		return errors.WithType(err, errEntryWrite)
 	}
 	for {
 		data, err := stream.Next()
@@ -134,19 +136,19 @@
 	}
 }
 
-// prefillSegment has the engine prefill and keep one segment. Its KV stays
-// charged to the hold until that ends.
+// prefillSegment has the engine prefill and keep one segment. Its KV cache
+// stays charged to the hold until the hold ends.
 func (a *Agent) prefillSegment(r *run, data []byte) error {
 	r.began.Store(true)
-	segment, err := a.cfg.Engine.PrefillSegment(r.ctx, engineRun(r, data))
-	a.bodySent(r)
+	segment, err := a.cfg.Engine.PrefillSegment(r.ctx, newEngineRun(r, data))
+	a.releaseBody(r)
 	r.body.data = nil
 	if err != nil {
 		return err
 	}
-	a.prefillDone(r)
-	// A hold that ended while the engine worked would leave the segment with
-	// no owner: memory that the engine never gets back.
+	a.finishPrefill(r)
+	// A hold that ended during the prefill would leave the segment without an
+	// owner, and the engine would never get this memory back.
 	if err := a.ledger.RetainSegment(a.cfg.Now(), r.id, segment.Handle, int64(segment.Tokens)); err != nil {
 		a.reaper.freeSegment(segment.Handle)
 		return errHoldLapsed
--- a/agent/run.go
+++ b/agent/run.go
@@ -14,7 +14,7 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// Causes that end a run's context.
+// Causes of the cancellation of a run's context.
 const (
 	errDeadline   = errors.ConstError("time limit reached")
 	errCancelled  = errors.ConstError("cancelled by the entry")
@@ -24,44 +24,44 @@
 	errClosing    = errors.ConstError("agent is closing")
 )
 
-// Bounds of a Start's fields, checked before use.
+// Limits of a Start's fields, checked before use.
 const (
-	maxIDBytes    = 256
-	maxTokens     = 1 << 40
-	maxGroup      = 64
-	maxHeaders    = 256
-	maxPriorBytes = 4 << 20
+	maxIDBytes        = 256
+	maxTokens         = 1 << 40
+	maxGroupMembers   = 64
+	maxHeaders        = 256
+	maxPriorTextBytes = 4 << 20
 )
 
 // run is one attempt. Its goroutine is the drpc handler; see Agent.Run.
 type run struct {
-	id       string // the engine's name for it
-	start    *wirepb.Start
-	owner    backend.Owner
-	stream   wirepb.DRPCAgent_RunStream
-	ctx      context.Context // ends at the deadline, on cancel, when the stream breaks
-	cancel   context.CancelCauseFunc
-	stop     func()
-	arrived  time.Time
-	timeout  time.Duration
-	prompt   int64         // tokens
-	tokens   int64         // prompt and longest output
-	load     backend.Load  // at admission
-	boot     string        // the engine's boot at admission
-	admitted atomic.Bool   // body parts may come
-	began    atomic.Bool   // the engine may have begun
-	finished chan struct{} // closed when the handler returns
-	body     *body
-	end      wirepb.End // collected while it runs; owned by the handler
-	// outputSoFar counts the chunks' tokens; owned by the handler.
-	outputSoFar uint64
+	id             string // ID of the request at the engine
+	start          *wirepb.Start
+	owner          backend.Owner
+	stream         wirepb.DRPCAgent_RunStream
+	ctx            context.Context // ends at the deadline, on Cancel, or when the stream breaks
+	cancel         context.CancelCauseFunc
+	stop           func()
+	arrived        time.Time
+	timeout        time.Duration
+	promptTokens   int64
+	reservedTokens int64         // prompt and longest output
+	admissionLoad  backend.Load  // sent with Admit
+	bootID         string        // boot ID of the engine at admission
+	admitted       atomic.Bool   // body parts are accepted
+	began          atomic.Bool   // the engine may have begun
+	finished       chan struct{} // closed when the handler returns
+	body           *bodyReceiver
+	end            wirepb.End // filled in during the run; owned by the handler
+	// streamedTokens counts the tokens of the chunks; owned by the handler.
+	streamedTokens uint64
 
 	// Guarded by Agent.mu.
-	bodyHeld   uint64
-	prefilling int64
+	bufferedBodyBytes uint64
+	prefillTokens     int64
 }
 
-// Run serves one attempt: Start, then Admit or Refuse, then the body, the
+// Run handles one attempt: Start, then Admit or Refuse, then the body, the
 // answer's chunks and End.
 func (a *Agent) Run(stream wirepb.DRPCAgent_RunStream) error {
 	start, err := a.receiveStart(stream)
@@ -71,30 +71,31 @@
 	r := a.newRun(stream, start)
 	defer r.stop()
 	if refused := a.validate(start); refused != nil {
-		return a.refuse(r, refused)
+		return a.sendRefusal(r, refused)
 	}
-	// The reader starts before admission, so that a Cancel ends the wait.
-	go r.body.read(r)
+	// The receiver starts before admission, so that a Cancel ends the wait.
+	go r.body.receive(r)
 	refused, err := a.admit(r)
 	if err != nil {
 		return errors.Annotatef(err, "step admit, request %s, peer %s", r.id, start.Entry)
 	}
 	if refused != nil {
-		return a.refuse(r, refused)
+		return a.sendRefusal(r, refused)
 	}
-	defer a.leave(r)
-	defer a.guard(r)()
+	defer a.release(r)
+	defer a.releaseOnCancel(r)()
 	r.admitted.Store(true)
-	admit := &wirepb.Admit{Load: wire.LoadMessage(r.load), EngineAddress: a.cfg.Descriptor.EngineAddress}
+	admit := &wirepb.Admit{Load: wire.LoadMessage(r.admissionLoad), EngineAddress: a.cfg.Descriptor.EngineAddress}
 	if err := r.send(&wirepb.RunDown{Body: &wirepb.RunDown_Admit{Admit: admit}}); err != nil {
 		return errors.Annotatef(err, "step send admit, peer %s", start.Entry)
 	}
-	a.serve(r)
-	return a.finish(r)
+	a.execute(r)
+	return a.sendEnd(r)
 }
 
-// receiveStart waits for the first message. A peer that opens a stream and says
-// nothing would keep a goroutine for ever; its connection is closed instead.
+// receiveStart waits for the first message. A peer that opens a stream and
+// sends nothing would occupy a goroutine forever; its connection is closed
+// instead.
 func (a *Agent) receiveStart(stream wirepb.DRPCAgent_RunStream) (*wirepb.Start, error) {
 	timer := time.AfterFunc(a.cfg.Limits.BodyTimeout, func() { closeTransport(stream) })
 	defer timer.Stop()
@@ -116,24 +117,25 @@
 }
 
 func (a *Agent) newRun(stream wirepb.DRPCAgent_RunStream, start *wirepb.Start) *run {
-	millis := min(start.TimeoutMs, uint64(a.cfg.Limits.MaxTimeout.Milliseconds()))
+	timeoutMs := min(start.TimeoutMs, uint64(a.cfg.Limits.MaxTimeout.Milliseconds()))
 	r := &run{
 		id:       fmt.Sprintf("%s.%d", start.RequestId, start.Attempt),
 		start:    start,
 		owner:    backend.Owner{Entry: start.Entry, Incarnation: start.EntryIncarnation},
 		stream:   stream,
 		arrived:  a.cfg.Now(),
-		timeout:  time.Duration(millis) * time.Millisecond,
+		timeout:  time.Duration(timeoutMs) * time.Millisecond,
 		finished: make(chan struct{}),
-		body:     newBody(start.BodyBytes),
+		body:     newBodyReceiver(start.BodyBytes),
 	}
-	r.prompt = int64(min(start.PromptTokens, maxTokens))
-	r.tokens = r.prompt + int64(min(start.MaxTokens, maxTokens))
+	r.promptTokens = int64(min(start.PromptTokens, maxTokens))
+	r.reservedTokens = r.promptTokens + int64(min(start.MaxTokens, maxTokens))
 	if start.Kind == wirepb.Kind_KIND_SERVICE {
-		r.prompt, r.tokens = 0, 1
+		r.promptTokens, r.reservedTokens = 0, 1
 	}
-	// Not a child of the stream's context, which isn't one of package context:
-	// that would cost a goroutine a run. The body's reader watches the stream.
+	// Not derived from the stream's context, which isn't one of package
+	// context: that would cost a goroutine per run. The body receiver watches
+	// the stream.
 	ctx, cancel := context.WithCancelCause(a.ctx)
 	r.cancel = cancel
 	limited, stopTimer := context.WithTimeoutCause(ctx, r.timeout, errDeadline)
@@ -145,16 +147,17 @@
 	return r
 }
 
-// queueID names the request's place in line, the same for all its attempts.
+// queueID returns the request's key in the ledger's wait queue, the same for
+// all its attempts.
 func (r *run) queueID() string { return "run:" + r.start.RequestId }
 
-func (r *run) left(now time.Time) time.Duration {
+func (r *run) timeLeft(now time.Time) time.Duration {
 	return r.timeout - now.Sub(r.arrived)
 }
 
 func (r *run) send(m *wirepb.RunDown) error { return r.stream.Send(m) }
 
-// validate checks bounds of what came over the network.
+// validate checks the limits of fields received from the network.
 func (a *Agent) validate(s *wirepb.Start) *refusal {
 	bad := func(detail string) *refusal {
 		return &refusal{wirepb.RefuseCode_REFUSE_BAD_REQUEST, detail}
@@ -168,7 +171,7 @@
 		return bad("entry or hold id missing or too long")
 	case s.BodyBytes > a.cfg.Limits.MaxBodyBytes:
 		return bad("body too large")
-	case len(s.Group) > maxGroup || s.Segment >= maxGroup || len(s.Headers) > maxHeaders || len(s.PriorText) > maxPriorBytes:
+	case len(s.Group) > maxGroupMembers || s.Segment >= maxGroupMembers || len(s.Headers) > maxHeaders || len(s.PriorText) > maxPriorTextBytes:
 		return bad("group, headers or prior text too large")
 	case s.Kind == wirepb.Kind_KIND_KV_SEGMENT && s.HoldId == "":
 		return bad("a segment needs a hold")
@@ -180,14 +183,14 @@
 	return nil
 }
 
-// guard frees a run at its deadline, or when its entry is gone, even while the
-// handler is stuck writing to an entry that doesn't read. Without it a paused
-// entry would keep engine memory; one would see used tokens with no output.
-// The returned function ends the guard.
-func (a *Agent) guard(r *run) func() {
+// releaseOnCancel frees a run at its deadline, or when its entry is gone, even
+// while the handler is blocked in a write to an entry that doesn't read.
+// Without it a paused entry would keep engine memory, visible as used tokens
+// without output. The returned function ends the watch.
+func (a *Agent) releaseOnCancel(r *run) func() {
 	stop := context.AfterFunc(r.ctx, func() {
-		a.reap(r)
-		a.leave(r)
+		a.cancelAtEngine(r)
+		a.release(r)
 		grace := time.NewTimer(a.cfg.Limits.SendGrace)
 		defer grace.Stop()
 		select {
@@ -202,18 +205,20 @@
 	}
 }
 
-// reap has the engine stop a run that may have begun and did not end by itself.
-func (a *Agent) reap(r *run) {
+// cancelAtEngine has the engine stop a run that may have begun and did not end
+// on its own.
+func (a *Agent) cancelAtEngine(r *run) {
 	if r.began.Load() && r.start.Kind != wirepb.Kind_KIND_SERVICE {
 		a.reaper.cancel(r.id)
 	}
 }
 
-// serve waits for the body and lets the engine answer.
-func (a *Agent) serve(r *run) {
+// execute waits for the body, sends the request to the engine and records how
+// the attempt ended.
+func (a *Agent) execute(r *run) {
 	data, err := r.body.wait(r.ctx, a.cfg.Limits.BodyTimeout)
 	if err != nil {
-		a.endWith(r, err)
+		a.setEnd(r, err)
 		return
 	}
 	switch r.start.Kind {
@@ -224,15 +229,15 @@
 	default:
 		err = a.relayRun(r, data)
 	}
-	a.endWith(r, err)
+	a.setEnd(r, err)
 }
 
-// finish sends End. If the entry is gone there is nobody to tell.
-func (a *Agent) finish(r *run) error {
-	a.counter.ended(r.end.Code).Inc(1)
-	a.leave(r)
+// sendEnd frees the run and sends End. The send fails if the entry is gone.
+func (a *Agent) sendEnd(r *run) error {
+	a.counters.ended(r.end.Code).Inc(1)
+	a.release(r)
 	r.end.Began = r.began.Load()
-	r.end.Load = a.wireLoad()
+	r.end.Load = a.loadMessage()
 	err := r.send(&wirepb.RunDown{Body: &wirepb.RunDown_End{End: &r.end}})
 	return errors.Annotatef(err, "step send end, peer %s", r.start.Entry)
 }
--- a/agent/run_test.go
+++ b/agent/run_test.go
@@ -10,7 +10,7 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-func TestRunRelaysAnswerFromResume(t *testing.T) {
+func TestRunRelaysAnswerFromResumePoint(t *testing.T) {
 	withAgent(t, func(t *testing.T, e *fakeEngine, a *Agent) {
 		start := chatStart("r")
 		start.ResumeFrom = 5
@@ -33,16 +33,16 @@
 		if end.Chunks != 8 || end.PromptTokens != 100 || end.OutputTokens != 6 || end.CachedTokens != 3 {
 			t.Fatalf("%v", end)
 		}
-		if got := e.started()[0]; string(got.Body) != "body" || got.ResumeFrom != 5 {
+		if got := e.startedRuns()[0]; string(got.Body) != "body" || got.ResumeFrom != 5 {
 			t.Fatalf("%+v", got)
 		}
 		expectFree(t, a)
 	})
 }
 
-// Symptom: an engine's memory stays taken after an entry died.
-// Sequence: an entry's connection breaks in the middle of an answer.
-// Cause: nobody is left to cancel the run.
+// An entry's connection breaks in the middle of an answer. The agent must
+// cancel the run, as nobody else can; otherwise the engine's memory stays
+// allocated.
 func TestEntryDeathFreesItsRun(t *testing.T) {
 	withAgent(t, func(t *testing.T, e *fakeEngine, a *Agent) {
 		at := begin(t, a, chatStart("r"))
@@ -54,10 +54,10 @@
 	})
 }
 
-// Symptom: as above.
-// Sequence: the entry closes its side properly behind the body, and dies later.
-// Cause: nothing can be received any more, so no error of that tells of it.
-func TestEntryDeathAfterItsSideWasClosedFreesItsRun(t *testing.T) {
+// The entry closes its sending side properly after the body and dies later.
+// Receiving has ended and reports no further error, so the agent must detect
+// the broken stream in another way.
+func TestEntryDeathAfterCloseSendFreesItsRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newFakeEngine()
 		a := startAgent(t, testConfig(e))
@@ -69,20 +69,19 @@
 		e.stream("r.1").chunks <- EngineChunk{Data: []byte("x"), Tokens: 1}
 		at.recv()
 		if a.Load().Used == 0 {
-			t.Fatal("ended by the close of one side")
+			t.Fatal("run ended when the entry closed its sending side")
 		}
 		at.close()
 		synctest.Wait()
 		expectFree(t, a)
 		if !e.wasCanceled("r.1") {
-			t.Fatal("engine still runs it")
+			t.Fatal("run not cancelled at the engine")
 		}
 	})
 }
 
-// Symptom: a cancelled run goes on and its memory stays taken.
-// Sequence: the entry sends Cancel while the engine prefills.
-// Cause: the handler waits for the engine and doesn't listen to the entry.
+// The entry sends Cancel while the engine prefills. The run must end and free
+// its memory although the handler is waiting for the engine.
 func TestCancelEndsRun(t *testing.T) {
 	withAgent(t, func(t *testing.T, e *fakeEngine, a *Agent) {
 		at := begin(t, a, chatStart("r"))
@@ -93,10 +92,10 @@
 	})
 }
 
-// Symptom: a request runs past its time limit, and the caller hangs.
-// Sequence: the engine takes the request and never answers; its health is good.
-// Cause: no error arises anywhere; only a clock ends it.
-func TestDeadlineEndsHungEngine(t *testing.T) {
+// The engine accepts the request and never answers; its health is good. No
+// error occurs anywhere, so only the deadline ends the run; otherwise the
+// caller hangs.
+func TestDeadlineEndsRunOnHungEngine(t *testing.T) {
 	withAgent(t, func(t *testing.T, e *fakeEngine, a *Agent) {
 		begun := time.Now()
 		at := begin(t, a, chatStart("r"))
@@ -108,10 +107,10 @@
 	})
 }
 
-// Symptom: a cut prompt is answered as if it were whole.
-// Sequence: the entry promises four bytes and sends fewer, more, or none.
-// Cause: it died or miscounted between Start and the last part.
-func TestBodyMustBeAsPromised(t *testing.T) {
+// The entry declares four bytes and sends fewer, more, or none, because it died
+// or miscounted between Start and the last part. The run must be rejected, or a
+// truncated prompt is answered as if it were complete.
+func TestBodyMustMatchDeclaredSize(t *testing.T) {
 	cases := map[string]struct {
 		send   func(*attempt)
 		detail error
@@ -130,8 +129,8 @@
 				c.send(at)
 				end := at.end()
 				expectEnd(t, end, wirepb.EndCode_END_REJECTED, false)
-				if end.Detail != c.detail.Error() || len(e.started()) != 0 {
-					t.Fatalf("%s, engine got %d runs", end.Detail, len(e.started()))
+				if end.Detail != c.detail.Error() || len(e.startedRuns()) != 0 {
+					t.Fatalf("%s, engine got %d runs", end.Detail, len(e.startedRuns()))
 				}
 				expectFree(t, a)
 			})
@@ -139,12 +138,10 @@
 	}
 }
 
-// Symptom: the agent's memory grows with a caller that doesn't read, and its
-// run keeps the engine's memory past the time limit.
-// Sequence: the engine offers chunk after chunk; the entry stops reading and
-// keeps the connection open.
-// Cause: chunks pile up between a fast engine and a slow reader.
-func TestSlowReaderBlocksAndIsEndedAtTheDeadline(t *testing.T) {
+// The engine offers chunk after chunk; the entry stops reading and keeps the
+// connection open. Chunks must not accumulate in the agent's memory, and the
+// run must free the engine's memory at its time limit.
+func TestSlowReaderBlocksUntilDeadline(t *testing.T) {
 	withAgent(t, func(t *testing.T, e *fakeEngine, a *Agent) {
 		at := begin(t, a, chatStart("r"))
 		synctest.Wait()
@@ -157,13 +154,13 @@
 			case <-time.After(shortWait):
 			}
 		}
-		// One chunk blocks in the pipe, and drpc may hold another.
+		// One chunk blocks in the pipe, and drpc may buffer another.
 		if taken > 3 {
-			t.Fatalf("%d chunks taken from the engine with nobody reading", taken)
+			t.Fatalf("%d chunks read from the engine although the entry does not read", taken)
 		}
 		time.Sleep(30 * time.Second)
 		expectStopped(t, e, a, "r.1")
-		// The handler must go too, with its connection.
+		// The handler must end too, with its connection.
 		time.Sleep(a.cfg.Limits.SendGrace + shortWait)
 		synctest.Wait()
 		select {
@@ -207,7 +204,7 @@
 				start := chatStart("r")
 				c.change(start)
 				expectRefusal(t, open(t, a, start), c.code)
-				if len(e.started()) > 1 || e.stream("r.1") != nil {
+				if len(e.startedRuns()) > 1 || e.stream("r.1") != nil {
 					t.Fatal("a refused request reached the engine")
 				}
 			})
@@ -215,10 +212,10 @@
 	}
 }
 
-// Symptom: a suspect's death takes innocents along.
-// Sequence: a suspect runs alone; another request arrives.
-// Cause: only the suspect's own admission looked for an idle engine.
-func TestNothingJoinsASuspect(t *testing.T) {
+// A suspect runs alone and another request arrives. It must be refused, or the
+// suspect's death would make it a suspect too. A check for an idle engine at
+// the suspect's own admission is not enough.
+func TestNoRunIsAdmittedBesideSuspect(t *testing.T) {
 	withAgent(t, func(t *testing.T, e *fakeEngine, a *Agent) {
 		start := chatStart("suspect")
 		start.Alone = true
@@ -231,10 +228,10 @@
 	})
 }
 
-// Symptom: short prompts wait seconds for their first token.
-// Sequence: long prompts of 800 tokens arrive together; the share is 1000.
-// Cause: the engine prefills them side by side. The second must wait for the
-// first chunk of the first; more than the line holds are refused.
+// Long prompts of 800 tokens arrive together; the limit is 1000. If the engine
+// prefills them side by side, short prompts wait seconds for their first token.
+// The second must wait for the first chunk of the first; prompts beyond the
+// queue's capacity are refused.
 func TestLongPrefillIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newFakeEngine()
@@ -261,10 +258,9 @@
 	})
 }
 
-// Symptom: a long prompt waits in line for ever.
-// Sequence: the one before it never gets its first chunk.
-// Cause: nothing bounds the wait but LongAdmissionTimeout.
-func TestLongWaitIsBounded(t *testing.T) {
+// A long prompt waits for one that never gets its first chunk. Only
+// LongAdmissionTimeout ends the wait.
+func TestLongAdmissionWaitIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := startAgent(t, testConfig(newFakeEngine()))
 		for i := range 2 {
@@ -279,10 +275,10 @@
 	})
 }
 
-// Symptom: a long prompt loses its place and short ones overtake it.
-// Sequence: it waits for memory; nothing is freed for longer than the ledger
-// lets a silent request keep its place.
-// Cause: it asks only when something was freed.
+// A long prompt waits for memory, and nothing is freed for longer than the
+// ledger keeps the place of a request that doesn't retry. The run must also
+// retry when nothing was freed, or it loses its place and short prompts
+// overtake it.
 func TestWaitingRunKeepsItsPlace(t *testing.T) {
 	withAgent(t, func(t *testing.T, e *fakeEngine, a *Agent) {
 		short := chatStart("short")
@@ -301,14 +297,14 @@
 		}
 		close(e.stream("short.1").chunks)
 		if at.recv().GetAdmit() == nil {
-			t.Fatal("overtaken")
+			t.Fatal("the waiting long prompt was overtaken")
 		}
 	})
 }
 
-// Symptom: an agent's memory fills with bodies beyond the bound on all of them.
-// Sequence: an entry sends its body before it is admitted.
-// Cause: the bytes are counted at admission.
+// An entry sends its body before it is admitted. The bytes are counted at
+// admission, so earlier bytes would exceed the limit on all bodies in the
+// agent's memory.
 func TestBodyBeforeAdmitEndsRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := startAgent(t, testConfig(newFakeEngine()))
@@ -328,10 +324,9 @@
 	})
 }
 
-// Symptom: an attempt answered twice, or reported as not run while it runs.
-// Sequence: the same attempt arrives on two streams.
-// Cause: a refusal of the second, here for lack of room, would say that the
-// request did not run.
+// The same attempt arrives on two streams. A refusal of the second, here
+// because the concurrency limit is reached, would report that the request did
+// not run while it runs.
 func TestDuplicateAttemptIsNotRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newFakeEngine()
@@ -343,16 +338,17 @@
 			t.Fatalf("got %v", down)
 		}
 		synctest.Wait()
-		if len(e.started()) != 1 {
-			t.Fatalf("%d runs", len(e.started()))
+		if len(e.startedRuns()) != 1 {
+			t.Fatalf("%d runs", len(e.startedRuns()))
 		}
 	})
 }
 
-// Symptom: a rolling replacement cuts answers off, or never ends.
-// Sequence: Drain while one runs and one holds; the hold's run comes after.
-// Cause: drain treats all work alike.
-func TestDrainRefusesNewAndFinishesOld(t *testing.T) {
+// A drain begins with one run in progress and one hold granted; the hold's run
+// comes after. Draining must not cut off work in progress, and must end when
+// the hold is released; otherwise a rolling replacement cuts answers off or
+// never ends.
+func TestDrainRefusesNewWorkAndFinishesRunning(t *testing.T) {
 	withAgent(t, func(t *testing.T, e *fakeEngine, a *Agent) {
 		client, _ := dial(t, a)
 		ctx := context.Background()
@@ -391,11 +387,10 @@
 	})
 }
 
-// Symptom: each drain costs the requests on their way a refusal and a retry.
-// Sequence: the agent announces that it leaves; a request arrives that an entry
-// sent before it heard of it.
-// Cause: the agent refuses from the moment at which it first says so.
-func TestAnnouncedDrainRefusesNothingYet(t *testing.T) {
+// The agent announces its drain, and a request arrives that an entry sent
+// before it received the announcement. The request must be accepted, or each
+// drain costs the requests in flight a refusal and a retry.
+func TestAnnouncedDrainStillAcceptsWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newFakeEngine()
 		a := startAgent(t, testConfig(e))
@@ -412,11 +407,11 @@
 	})
 }
 
-// Symptom: innocent suspects are refused until their time is over.
-// Sequence: a suspect arrives at a busy engine; new work comes all the time.
-// Cause: the engine never became idle, since nothing made room for the suspect.
-// Its turn is bounded: a suspect that waits for a run which doesn't end gives up.
-func TestWaitingSuspectGetsItsTurn(t *testing.T) {
+// A suspect arrives at a busy engine, and new work comes all the time. The
+// agent must refuse new work until the suspect has run, or the engine never
+// becomes idle and harmless suspects are refused until their deadline. The wait
+// is bounded: a suspect that waits for a run which doesn't end is refused.
+func TestWaitingSuspectIsAdmitted(t *testing.T) {
 	withAgent(t, func(t *testing.T, e *fakeEngine, a *Agent) {
 		begin(t, a, chatStart("older"))
 		suspect := func(id string) *attempt {
--- a/agent/serves.go
+++ b/agent/serves.go
@@ -10,79 +10,80 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// list asks the engine what it has loaded: at the start, after a restart of the
-// engine and after orders for models. An engine that restarted has forgotten what
-// it was ordered to load: without this, entries would go on sending it requests
-// for models that it no longer has, and nobody would load them again.
-func (a *Agent) list(ctx context.Context, boot string) {
+// refreshInventory asks the engine what it has loaded: at the start, after a
+// restart of the engine and after orders for models. A restarted engine no
+// longer has what it was ordered to load: without this, entries would go on
+// sending requests for models that it no longer has, and nothing would load
+// them again.
+func (a *Agent) refreshInventory(ctx context.Context, bootID string) {
 	a.mu.Lock()
-	known := a.listed == boot && boot != "" && !a.listAgain
+	known := a.inventoryBootID == bootID && bootID != "" && !a.inventoryStale
 	a.mu.Unlock()
 	if known || a.cfg.Descriptor.Service {
 		return
 	}
 	select {
-	case a.ordering <- struct{}{}:
+	case a.orderSlot <- struct{}{}:
 	default:
-		return // what an order changes meanwhile would be overwritten by older news
+		return // a concurrent order's changes would be overwritten by older data
 	}
-	defer func() { <-a.ordering }()
-	serves, err := a.cfg.Engine.Inventory(ctx)
+	defer func() { <-a.orderSlot }()
+	inventory, err := a.cfg.Engine.Inventory(ctx)
 	if err != nil {
-		return // the next look asks again
+		return // the next probe retries
 	}
-	if a.takeList(serves, boot) {
-		a.changedDescriptor()
+	if a.applyInventory(inventory, bootID) {
+		a.notifyDescriptorChanged()
 	}
 }
 
-// takeList puts what the engine listed into the descriptor. Within one life of
-// the engine, what was withdrawn stays so, and a version that the engine doesn't
-// tell is the one that it was ordered to load.
-func (a *Agent) takeList(serves EngineInventory, boot string) (changed bool) {
+// applyInventory copies the engine's inventory to the descriptor. Within one
+// boot of the engine, withdrawn models stay withdrawn, and a version that the
+// engine doesn't report is the one that it was ordered to load.
+func (a *Agent) applyInventory(inventory EngineInventory, bootID string) (changed bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	sameLife := a.listed == boot && boot != ""
-	a.listed, a.listAgain = boot, false
+	sameBoot := a.inventoryBootID == bootID && bootID != ""
+	a.inventoryBootID, a.inventoryStale = bootID, false
 	before := a.descriptor
 	d := &a.descriptor
 	d.Models, d.Adapters, d.Weights = nil, nil, nil
-	for _, w := range serves.Weights {
+	for _, w := range inventory.Weights {
 		w.Adapter = w.Adapter || slices.Contains(a.cfg.Descriptor.Adapters, w.Name)
-		old, had := loadedOf(&before, w.Name)
-		if sameLife && had && w.Version == 0 {
+		old, had := findWeights(&before, w.Name)
+		if sameBoot && had && w.Version == 0 {
 			w.Version = old.Version
 		}
-		setLoaded(d, w)
-		if !sameLife || !had || takesRequests(&before, w.Name) {
-			admitRequests(d, w)
+		setWeights(d, w)
+		if !sameBoot || !had || acceptsRequests(&before, w.Name) {
+			enableRequests(d, w)
 		}
 	}
-	if serves.Role != "" {
-		d.Role = serves.Role
+	if inventory.Role != "" {
+		d.Role = inventory.Role
 	}
 	return !slices.Equal(before.Weights, d.Weights) || before.Role != d.Role ||
 		!slices.Equal(before.Models, d.Models) || !slices.Equal(before.Adapters, d.Adapters)
 }
 
-// withdraw takes what an order unloads or replaces out of the descriptor and
-// waits until no request runs on it: an engine would cut those off. What was
-// withdrawn stays so when the wait is given up, or new requests would keep it
-// from ever ending.
+// withdraw removes what an order unloads or replaces from the models and
+// adapters that accept requests, and waits until no request uses it: an engine
+// would cut those off. If the wait is given up, it stays withdrawn; otherwise
+// new requests could keep the wait from ever ending.
 func (a *Agent) withdraw(ctx context.Context, in *wirepb.OrderRequest) error {
-	name := orderedName(in)
+	name := orderTarget(in)
 	a.mu.Lock()
 	d := &a.descriptor
-	_, loaded := loadedOf(d, name)
-	d.Models, d.Adapters = without(d.Models, name), without(d.Adapters, name)
+	_, loaded := findWeights(d, name)
+	d.Models, d.Adapters = removeName(d.Models, name), removeName(d.Adapters, name)
 	a.mu.Unlock()
 	if !loaded {
 		return nil
 	}
-	a.changedDescriptor()
+	a.notifyDescriptorChanged()
 	for {
 		a.mu.Lock()
-		runs, changed := a.runsOn(in), a.changed
+		runs, changed := a.runsUsingLocked(in), a.stateChanged
 		a.mu.Unlock()
 		if runs == 0 {
 			return nil
@@ -95,9 +96,9 @@
 	}
 }
 
-// runsOn counts the requests that use what the order names. A request that names
-// the pool may be on any model. Call with mu held.
-func (a *Agent) runsOn(in *wirepb.OrderRequest) int {
+// runsUsingLocked counts the requests that use the target of the order. A
+// request that names the pool may use any model. Call with mu held.
+func (a *Agent) runsUsingLocked(in *wirepb.OrderRequest) int {
 	n := 0
 	for _, r := range a.runs {
 		s := r.start
@@ -113,62 +114,65 @@
 	return n
 }
 
-// beginLoading shows that weights are on their way: whoever gives orders counts
-// it against the weight store's slots, also if it is not who gave this one.
-func (a *Agent) beginLoading(in *wirepb.OrderRequest) {
+// setLoading reports in the descriptor that weights are being loaded: each
+// sender of orders counts it against the slots of the weight store, also if
+// another sent this order.
+func (a *Agent) setLoading(in *wirepb.OrderRequest) {
 	if in.Action != actionLoad {
 		return
 	}
 	a.mu.Lock()
-	a.descriptor.Loading = orderedName(in)
+	a.descriptor.Loading = orderTarget(in)
 	a.mu.Unlock()
-	a.changedDescriptor()
+	a.notifyDescriptorChanged()
 }
 
-// orderDone makes an order that was carried out visible.
-func (a *Agent) orderDone(in *wirepb.OrderRequest) {
+// applyOrder updates the descriptor after an executed order.
+func (a *Agent) applyOrder(in *wirepb.OrderRequest) {
 	a.mu.Lock()
 	d := &a.descriptor
 	d.Loading = ""
-	a.listAgain = a.listAgain || in.Adapter == ""
+	a.inventoryStale = a.inventoryStale || in.Adapter == ""
 	switch in.Action {
 	case actionLoad:
-		w := backend.Weights{Name: orderedName(in), Version: backend.VersionKey(in.Version), Adapter: in.Adapter != ""}
-		setLoaded(d, w)
-		admitRequests(d, w)
+		w := backend.Weights{Name: orderTarget(in), Version: backend.VersionKey(in.Version), Adapter: in.Adapter != ""}
+		setWeights(d, w)
+		enableRequests(d, w)
 	case actionUnload:
-		dropLoaded(d, orderedName(in))
+		removeWeights(d, orderTarget(in))
 	case actionRole:
 		d.Role = backend.Role(in.Role)
 	}
 	a.mu.Unlock()
-	a.changedDescriptor()
+	a.notifyDescriptorChanged()
 }
 
-// orderNotDone ends an order that the engine did not begin.
-func (a *Agent) orderNotDone() {
+// clearLoading ends an order that the engine did not begin.
+func (a *Agent) clearLoading() {
 	a.mu.Lock()
 	a.descriptor.Loading = ""
 	a.mu.Unlock()
-	a.changedDescriptor()
+	a.notifyDescriptorChanged()
 }
 
-// serves tells whether requests are taken for what the order names.
-func (a *Agent) serves(in *wirepb.OrderRequest) bool {
+// servesTarget reports whether requests for the target of the order are
+// accepted.
+func (a *Agent) servesTarget(in *wirepb.OrderRequest) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return takesRequests(&a.descriptor, orderedName(in))
+	return acceptsRequests(&a.descriptor, orderTarget(in))
 }
 
-// serveAgain takes back what withdraw did for an order that the engine found
-// stale: its giver is no longer in charge, and the one who is knows nothing of
-// it. Without this a model would stay out of service until the next order.
-func (a *Agent) serveAgain(in *wirepb.OrderRequest) {
+// undoWithdraw reverts withdraw for an order that the engine rejected as stale:
+// its sender no longer holds the lease, and the current holder has no record of
+// the order. Without this a model would stay out of service until the next
+// order.
+func (a *Agent) undoWithdraw(in *wirepb.OrderRequest) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	d := &a.descriptor
-	name := orderedName(in)
-	if _, loaded := loadedOf(d, name); !loaded || in.Action == actionRole || takesRequests(d, name) {
+	name := orderTarget(in)
+	if _, loaded := findWeights(d, name); !loaded || in.Action == actionRole || acceptsRequests(d, name) {
 		return
 	}
 	if in.Adapter != "" {
@@ -178,24 +182,24 @@
 	d.Models = append(slices.Clone(d.Models), name)
 }
 
-// orderUnknown ends an order of which nobody knows how far the engine got. What
-// it named counts as loaded in no known version and takes no requests, until the
-// engine lists what it has or a further order settles it.
-func (a *Agent) orderUnknown(in *wirepb.OrderRequest) {
+// markOrderUnknown ends an order whose outcome is unknown. Its target counts as
+// loaded in an unknown version and accepts no requests, until the engine's
+// inventory is read or a further order resolves it.
+func (a *Agent) markOrderUnknown(in *wirepb.OrderRequest) {
 	a.mu.Lock()
 	d := &a.descriptor
 	d.Loading = ""
-	a.listAgain = true
+	a.inventoryStale = true
 	if in.Action == actionRole {
 		d.Role = ""
 	} else {
-		setLoaded(d, backend.Weights{Name: orderedName(in), Adapter: in.Adapter != ""})
+		setWeights(d, backend.Weights{Name: orderTarget(in), Adapter: in.Adapter != ""})
 	}
 	a.mu.Unlock()
-	a.changedDescriptor()
+	a.notifyDescriptorChanged()
 }
 
-func loadedOf(d *backend.Descriptor, name string) (backend.Weights, bool) {
+func findWeights(d *backend.Descriptor, name string) (backend.Weights, bool) {
 	i := slices.IndexFunc(d.Weights, func(w backend.Weights) bool { return w.Name == name })
 	if i < 0 {
 		return backend.Weights{}, false
@@ -203,37 +207,37 @@
 	return d.Weights[i], true
 }
 
-func takesRequests(d *backend.Descriptor, name string) bool {
+func acceptsRequests(d *backend.Descriptor, name string) bool {
 	return slices.Contains(d.Models, name) || slices.Contains(d.Adapters, name)
 }
 
-// The functions below replace slices rather than change them: copies of the
-// descriptor are in use.
+// The functions below replace slices instead of modifying them, because copies
+// of the descriptor share them.
 
-func setLoaded(d *backend.Descriptor, w backend.Weights) {
-	dropLoaded(d, w.Name)
+func setWeights(d *backend.Descriptor, w backend.Weights) {
+	removeWeights(d, w.Name)
 	d.Weights = append(d.Weights, w)
 }
 
-func dropLoaded(d *backend.Descriptor, name string) {
+func removeWeights(d *backend.Descriptor, name string) {
 	d.Weights = slices.DeleteFunc(slices.Clone(d.Weights), func(w backend.Weights) bool { return w.Name == name })
 }
 
-func admitRequests(d *backend.Descriptor, w backend.Weights) {
+func enableRequests(d *backend.Descriptor, w backend.Weights) {
 	if w.Adapter {
-		d.Adapters = with(d.Adapters, w.Name)
+		d.Adapters = appendUnique(d.Adapters, w.Name)
 		return
 	}
-	d.Models = with(d.Models, w.Name)
+	d.Models = appendUnique(d.Models, w.Name)
 }
 
-func with(list []string, name string) []string {
+func appendUnique(list []string, name string) []string {
 	if name == "" || slices.Contains(list, name) {
 		return list
 	}
 	return append(slices.Clone(list), name)
 }
 
-func without(list []string, name string) []string {
+func removeName(list []string, name string) []string {
 	return slices.DeleteFunc(slices.Clone(list), func(s string) bool { return s == name })
 }
--- a/agent/wait_test.go
+++ b/agent/wait_test.go
@@ -8,24 +8,23 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// Symptom: first tokens of short prompts come late on some engines while
-// others are idle.
-// Sequence: two entries choose the same engine by reports of the same age.
-// Cause: the engine takes what comes. It refuses a short prompt that would wait
-// for longer than its entry expected, and the entry asks another.
-func TestShortPromptIsRefusedWhereItWouldWait(t *testing.T) {
+// Two entries choose the same engine by reports of the same age. The agent must
+// refuse a short prompt that would wait longer than its entry expected, so that
+// the entry asks another engine; otherwise first tokens of short prompts come
+// late on some engines while others are idle.
+func TestShortPromptWithLongWaitIsRefused(t *testing.T) {
 	for name, c := range map[string]struct {
-		ahead   request.Class // of the prompt that is there
-		own     request.Class
-		most    uint64 // milliseconds
-		refused bool
+		ahead     request.Class // class of the prompt that is already there
+		own       request.Class
+		maxWaitMs uint64 // milliseconds
+		refused   bool
 	}{
-		"waits longer":             {request.ClassShort, request.ClassShort, 50, true},
-		"waits as expected":        {request.ClassShort, request.ClassShort, 2000, false},
-		"no bound":                 {request.ClassShort, request.ClassShort, 0, false},
-		"long prefill yields":      {request.ClassLarge, request.ClassShort, 150, false},
-		"but takes a step":         {request.ClassLarge, request.ClassShort, 50, true},
-		"long prompts only choose": {request.ClassShort, request.ClassLarge, 50, false},
+		"wait above the limit":          {request.ClassShort, request.ClassShort, 50, true},
+		"wait within the limit":         {request.ClassShort, request.ClassShort, 2000, false},
+		"no limit":                      {request.ClassShort, request.ClassShort, 0, false},
+		"long prefill yields":           {request.ClassLarge, request.ClassShort, 150, false},
+		"long prefill delays by a step": {request.ClassLarge, request.ClassShort, 50, true},
+		"long prompt is not refused":    {request.ClassShort, request.ClassLarge, 50, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -36,7 +35,7 @@
 				begin(t, a, first)
 				synctest.Wait()
 				second := chatStart("second")
-				second.Priority, second.MaxWaitMs = int32(c.own), c.most
+				second.Priority, second.MaxWaitMs = int32(c.own), c.maxWaitMs
 				at := open(t, a, second)
 				down := at.recv()
 				if got := down.GetRefuse().GetCode() == wirepb.RefuseCode_REFUSE_BUSY; got != c.refused {
