--- a/backend/broken_test.go
+++ b/backend/broken_test.go
@@ -6,26 +6,26 @@
 	"github.com/briarturn/briarturn/invariant/invarianttest"
 )
 
-// Each invariant of the package notices a deliberately broken state.
-func TestBrokenStatesAreNoticed(t *testing.T) {
+// Each invariant of the package detects a deliberately broken state.
+func TestInvariantsDetectBrokenState(t *testing.T) {
 	ledger := func() *Ledger { return NewLedger(LedgerConfig{Capacity: 100}) }
 	invarianttest.Violates(t, "backend.ledger.bounds", func() {
 		l := ledger()
-		l.reserved = 101
-		l.check()
+		l.reservedTokens = 101
+		l.checkInvariants()
 	})
 	invarianttest.Violates(t, "backend.ledger.earmark", func() {
 		l := ledger()
-		l.queue.earmark = 1 // for nobody
-		l.check()
+		l.queue.earmark = 1 // without a waiter
+		l.checkInvariants()
 	})
 	invarianttest.Violates(t, "backend.ledger.long", func() {
 		l := ledger()
-		l.long = 100
-		l.check()
+		l.longTokens = 100
+		l.checkInvariants()
 	})
 	invarianttest.Violates(t, "backend.table.forward", func() {
 		rec := &record{row: Row{Incarnation: 5}}
-		rec.restart(4)
+		rec.startIncarnation(4)
 	})
 }
--- a/backend/example_test.go
+++ b/backend/example_test.go
@@ -10,8 +10,8 @@
 
 var noon = time.Date(2026, 3, 1, 12, 0, 0, 0, time.UTC)
 
-// An entry takes in reports, counts what it sends itself, and forgets the
-// servers that fell silent.
+// An entry records reports, counts its own dispatches, and marks servers that
+// stop reporting as suspect.
 func ExampleTable() {
 	table := backend.NewTable(backend.TableOptions{})
 	engine := backend.Descriptor{Name: "briar-1", Pool: "briar-pool", MemoryTokens: 1000}
@@ -30,8 +30,8 @@
 	// suspect 700 free
 }
 
-// An agent guards its engine's memory: a long request holds tokens ahead of its
-// run, and what lapses is freed by Sweep.
+// An agent accounts for the memory of its engine: a long request holds tokens
+// before its run, and Sweep frees expired holds.
 func ExampleLedger() {
 	ledger := backend.NewLedger(backend.LedgerConfig{Capacity: 1000})
 	entry := backend.Owner{Entry: "entry-1", Incarnation: 1}
--- a/backend/ledger_broken_test.go
+++ b/backend/ledger_broken_test.go
@@ -9,12 +9,14 @@
 
 // The broken variants below show that the model can fail: each must be found.
 
+// The broken variants below verify that the model can fail: the test must
+// detect each of them.
 type leaksOnFinish struct{ *Ledger }
 
 func (b leaksOnFinish) Finish(now time.Time, id string) bool {
 	ok := b.Ledger.Finish(now, id)
 	if ok {
-		b.reserved++
+		b.reservedTokens++
 	}
 	return ok
 }
@@ -25,15 +27,15 @@
 	r := b.runs[id]
 	ok := b.Ledger.Finish(now, id)
 	if r != nil && r.hold == nil {
-		b.reserved -= r.tokens
+		b.reservedTokens -= r.tokens
 	}
 	return ok
 }
 
-type revives struct{ *Ledger }
+type revivesHolds struct{ *Ledger }
 
-func (b revives) Hold(now time.Time, spec HoldSpec) (time.Time, error) {
-	delete(b.ended, spec.ID)
+func (b revivesHolds) Hold(now time.Time, spec HoldSpec) (time.Time, error) {
+	delete(b.endedHolds, spec.ID)
 	return b.Ledger.Hold(now, spec)
 }
 
@@ -58,49 +60,49 @@
 	return b.Ledger.Admit(now, spec)
 }
 
-type stealsEarmark struct{ *Ledger }
+type ignoresEarmark struct{ *Ledger }
 
-func (b stealsEarmark) Admit(now time.Time, spec RunSpec) error {
+func (b ignoresEarmark) Admit(now time.Time, spec RunSpec) error {
 	b.queue.earmark = 0
 	return b.Ledger.Admit(now, spec)
 }
 
-type forgetsDeadOwner struct{ *Ledger }
+type ignoresDeadOwner struct{ *Ledger }
 
-func (b forgetsDeadOwner) ReleaseOwner(time.Time, Owner) Cleanup { return Cleanup{} }
+func (b ignoresDeadOwner) ReleaseOwner(time.Time, Owner) Cleanup { return Cleanup{} }
 
-type dropsKeptCharge struct{ *Ledger }
+type dropsSegmentCharge struct{ *Ledger }
 
-func (b dropsKeptCharge) RetainSegment(now time.Time, id, handle string, tokens int64) error {
+func (b dropsSegmentCharge) RetainSegment(now time.Time, id, handle string, tokens int64) error {
 	err := b.Ledger.RetainSegment(now, id, handle, tokens)
 	if err == nil {
-		b.used = 0
+		b.usedTokens = 0
 	}
 	return err
 }
 
-func TestModelFindsBrokenLedgers(t *testing.T) {
+func TestModelDetectsBrokenLedgers(t *testing.T) {
 	variants := map[string]func() ledgerOps{
-		"leaks on finish":     func() ledgerOps { return leaksOnFinish{newModelLedger()} },
-		"frees twice":         func() ledgerOps { return freesTwice{newModelLedger()} },
-		"revives ended holds": func() ledgerOps { return revives{newModelLedger()} },
-		"ignores the owner":   func() ledgerOps { return ignoresOwner{newModelLedger()} },
-		"never expires":       func() ledgerOps { return neverExpires{newModelLedger()} },
-		"overcommits":         func() ledgerOps { return overcommits{newModelLedger()} },
-		"steals the earmark":  func() ledgerOps { return stealsEarmark{newModelLedger()} },
-		"forgets dead owner":  func() ledgerOps { return forgetsDeadOwner{newModelLedger()} },
-		"drops kept charge":   func() ledgerOps { return dropsKeptCharge{newModelLedger()} },
+		"leaks on finish":      func() ledgerOps { return leaksOnFinish{newModelLedger()} },
+		"frees twice":          func() ledgerOps { return freesTwice{newModelLedger()} },
+		"revives ended holds":  func() ledgerOps { return revivesHolds{newModelLedger()} },
+		"ignores the owner":    func() ledgerOps { return ignoresOwner{newModelLedger()} },
+		"never expires":        func() ledgerOps { return neverExpires{newModelLedger()} },
+		"overcommits":          func() ledgerOps { return overcommits{newModelLedger()} },
+		"ignores the earmark":  func() ledgerOps { return ignoresEarmark{newModelLedger()} },
+		"ignores dead owner":   func() ledgerOps { return ignoresDeadOwner{newModelLedger()} },
+		"drops segment charge": func() ledgerOps { return dropsSegmentCharge{newModelLedger()} },
 	}
 	const seeds = 500
 	gen := rapid.SliceOfN(opGen(), 60, 80)
 	for name, make := range variants {
 		t.Run(name, func(t *testing.T) {
 			for seed := range seeds {
-				if driveLedger(make(), gen.Example(seed)) != nil {
+				if runOps(make(), gen.Example(seed)) != nil {
 					return
 				}
 			}
-			t.Fatalf("not found in %d runs", seeds)
+			t.Fatalf("not detected in %d runs", seeds)
 		})
 	}
 }
--- a/backend/ledger_holder_test.go
+++ b/backend/ledger_holder_test.go
@@ -7,13 +7,13 @@
 	"github.com/juju/errors"
 )
 
-// Symptom: two engines have room for a long prompt, and it never starts; one of
-// them shows held tokens that nobody uses.
-// Sequence: an entry is granted the first of two holds and dies before it asks
-// for the second. Another entry wants both engines.
-// Cause: only the dead entry would have released its hold. It lapses by itself,
-// and the other entry, which kept its place in line, gets the memory.
-func TestHolderDiesBetweenTwoHolds(t *testing.T) {
+// Guards against a hold that outlives its owner. An entry obtains the first of
+// two holds and dies before it requests the second, while another entry waits
+// for both engines. Only the dead entry would have released its hold, so the
+// hold must expire on its own; otherwise the long prompt never starts, although
+// both engines have enough memory. The waiting entry has kept its place in the
+// queue and gets the memory.
+func TestDeadOwnersHoldExpires(t *testing.T) {
 	const ttl, retry = 10 * time.Second, time.Second
 	dead, alive := Owner{"en1", 1}, Owner{"en2", 1}
 	engines := []*Ledger{NewLedger(LedgerConfig{Capacity: 1000}), NewLedger(LedgerConfig{Capacity: 1000})}
@@ -31,21 +31,21 @@
 		}
 	}
 	if granted.IsZero() || granted.Sub(now) > ttl+2*retry {
-		t.Fatalf("both holds granted %v after the death, want soon after the first lapses at %v", granted.Sub(now), ttl)
+		t.Fatalf("both holds granted %v after the owner died, want shortly after the first hold expires at %v", granted.Sub(now), ttl)
 	}
 	for i, l := range engines {
 		if s := l.State(); s.Held != 800 || s.Holds != 1 {
-			t.Errorf("engine %d: %+v, want the living entry's hold alone", i, s)
+			t.Errorf("engine %d: %+v, want only the hold of the live entry", i, s)
 		}
 	}
 }
 
-// holdBoth asks for both holds or takes none, as a group does.
+// holdBoth requests both holds in order and reports whether both were granted.
 func holdBoth(t *testing.T, engines []*Ledger, at time.Time, owner Owner, ttl time.Duration) bool {
 	t.Helper()
 	for i, l := range engines {
-		// The second engine's hold is released after a round that failed, and a
-		// released id is used up.
+		// After a failed round the hold of the second engine is released, and a
+		// released id can't be granted again.
 		id := "alive"
 		if i > 0 {
 			id += at.String()
--- a/backend/ledger_model_test.go
+++ b/backend/ledger_model_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// ledgerOps is what the model drives; broken variants replace single methods.
+// ledgerOps are the methods that the model drives; broken variants override
+// single methods.
 type ledgerOps interface {
 	Hold(time.Time, HoldSpec) (time.Time, error)
 	Extend(time.Time, string, Owner, time.Duration) (time.Time, error)
@@ -39,10 +40,10 @@
 	opExtend
 	opRelease
 	opAdmit
-	opGrow
+	opUpdateUsage
 	opFinish
-	opKeep
-	opOwnerDead
+	opRetainSegment
+	opReleaseOwner
 	opCount
 )
 
@@ -64,10 +65,10 @@
 }
 
 type modelHold struct {
-	owner  Owner
-	tokens int64
-	expiry time.Time
-	kept   int64
+	owner         Owner
+	tokens        int64
+	expiry        time.Time
+	segmentTokens int64
 }
 
 type modelRun struct {
@@ -77,8 +78,8 @@
 	used   int64
 }
 
-// ledgerModel is the plain statement of what a ledger must do: maps, and sums
-// made anew each time.
+// ledgerModel is a simple reference implementation of a ledger: plain maps, and
+// totals that are recomputed each time.
 type ledgerModel struct {
 	now   time.Time
 	holds map[string]*modelHold
@@ -86,8 +87,8 @@
 	ended map[string]bool
 }
 
-func (m *ledgerModel) drawn(hold string) int64 {
-	sum := m.holds[hold].kept
+func (m *ledgerModel) allocated(hold string) int64 {
+	sum := m.holds[hold].segmentTokens
 	for _, r := range m.runs {
 		if r.hold == hold {
 			sum += r.tokens
@@ -108,7 +109,7 @@
 func (m *ledgerModel) totals() (reserved, used int64) {
 	for _, h := range m.holds {
 		reserved += h.tokens
-		used += h.kept
+		used += h.segmentTokens
 	}
 	for _, r := range m.runs {
 		used += r.used
@@ -119,7 +120,7 @@
 	return reserved, used
 }
 
-func (m *ledgerModel) end(hold string) {
+func (m *ledgerModel) endHold(hold string) {
 	for _, r := range m.runs {
 		if r.hold == hold {
 			r.hold = ""
@@ -132,14 +133,14 @@
 func (m *ledgerModel) sweep() {
 	for id, h := range m.holds {
 		if m.now.After(h.expiry) && !m.running(id) {
-			m.end(id)
+			m.endHold(id)
 		}
 	}
 }
 
-// driveLedger runs the operations against ledger and model and returns the first
-// difference. A violated invariant counts as one.
-func driveLedger(l ledgerOps, ops []ledgerOp) (err error) {
+// runOps applies the operations to the ledger and the model and returns the
+// first difference. A violated invariant counts as a difference.
+func runOps(l ledgerOps, ops []ledgerOp) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("panic: %v", p)
@@ -184,25 +185,25 @@
 		return m.applyRelease(l, hold, owner)
 	case opAdmit:
 		return m.applyAdmit(l, hold, run, owner, op)
-	case opGrow:
-		return m.applyGrow(l, run, op.Tokens)
+	case opUpdateUsage:
+		return m.applyUpdateUsage(l, run, op.Tokens)
 	case opFinish:
 		_, known := m.runs[run]
 		delete(m.runs, run)
-		return expect(l.Finish(m.now, run) == known, "finish of run known: %v", known)
-	case opKeep:
-		return m.applyKeep(l, run, op.Tokens)
+		return check(l.Finish(m.now, run) == known, "finish of run known: %v", known)
+	case opRetainSegment:
+		return m.applyRetainSegment(l, run, op.Tokens)
 	}
 	for id, h := range m.holds {
 		if h.owner == owner {
-			m.end(id)
+			m.endHold(id)
 		}
 	}
 	l.ReleaseOwner(m.now, owner)
 	return nil
 }
 
-func expect(ok bool, format string, args ...any) error {
+func check(ok bool, format string, args ...any) error {
 	if ok {
 		return nil
 	}
@@ -217,7 +218,7 @@
 		if same {
 			h.expiry = expiry
 		}
-		return expect(same == (err == nil), "repeated hold: %v", err)
+		return check(same == (err == nil), "repeated hold: %v", err)
 	}
 	if err != nil {
 		return nil
@@ -226,7 +227,7 @@
 	if m.ended[id] {
 		return fmt.Errorf("hold %s was revived", id)
 	}
-	return expect(tokens <= before.Capacity-before.Held-before.Used, "hold of %d over %+v", tokens, before)
+	return check(tokens <= before.Capacity-before.Held-before.Used, "hold of %d over %+v", tokens, before)
 }
 
 func (m *ledgerModel) applyExtend(l ledgerOps, id string, owner Owner) error {
@@ -236,7 +237,7 @@
 	if mine {
 		h.expiry = expiry
 	}
-	return expect(mine == (err == nil), "extend of own live hold %v: %v", mine, err)
+	return check(mine == (err == nil), "extend of own live hold %v: %v", mine, err)
 }
 
 func (m *ledgerModel) applyRelease(l ledgerOps, id string, owner Owner) error {
@@ -244,13 +245,13 @@
 	h, ok := m.holds[id]
 	if !ok {
 		m.ended[id] = true
-		return expect(err != nil, "release of unknown hold")
+		return check(err != nil, "release of unknown hold")
 	}
 	if h.owner != owner {
-		return expect(errors.Is(err, ErrNotOwner), "release by another: %v", err)
+		return check(errors.Is(err, ErrNotOwner), "release by another: %v", err)
 	}
-	m.end(id)
-	return expect(err == nil, "release: %v", err)
+	m.endHold(id)
+	return check(err == nil, "release: %v", err)
 }
 
 func (m *ledgerModel) applyAdmit(l ledgerOps, hold, run string, owner Owner, op ledgerOp) error {
@@ -261,38 +262,38 @@
 	before := l.State()
 	err := l.Admit(m.now, spec)
 	if _, ok := m.runs[run]; ok {
-		return expect(errors.Is(err, ErrRunExists), "second admit: %v", err)
+		return check(errors.Is(err, ErrRunExists), "second admit: %v", err)
 	}
 	if op.OnHold {
 		h, ok := m.holds[hold]
-		fits := ok && h.owner == owner && op.Tokens <= h.tokens-m.drawn(hold)
+		fits := ok && h.owner == owner && op.Tokens <= h.tokens-m.allocated(hold)
 		if fits {
 			m.runs[run] = &modelRun{owner: owner, hold: hold, tokens: op.Tokens}
 		}
-		return expect(fits == (err == nil), "run on hold, fits %v: %v", fits, err)
+		return check(fits == (err == nil), "run on hold, fits %v: %v", fits, err)
 	}
 	free := before.Capacity - before.Held - before.Used
 	if err == nil {
 		m.runs[run] = &modelRun{owner: owner, tokens: op.Tokens}
 	}
 	if op.Long {
-		return expect(err != nil || op.Tokens <= free, "long run of %d over %+v", op.Tokens, before)
+		return check(err != nil || op.Tokens <= free, "long run of %d over %+v", op.Tokens, before)
 	}
 	fits := op.Tokens <= free-before.Earmarked
-	return expect(fits == (err == nil), "short run of %d, %+v: %v", op.Tokens, before, err)
+	return check(fits == (err == nil), "short run of %d, %+v: %v", op.Tokens, before, err)
 }
 
-func (m *ledgerModel) applyGrow(l ledgerOps, run string, used int64) error {
+func (m *ledgerModel) applyUpdateUsage(l ledgerOps, run string, used int64) error {
 	before := l.State()
 	err := l.UpdateUsage(run, used)
 	r, ok := m.runs[run]
 	if !ok || used <= r.used {
-		return expect(err == nil, "grow: %v", err)
+		return check(err == nil, "grow: %v", err)
 	}
 	more := used - r.tokens
 	if more > 0 && r.hold != "" {
 		h := m.holds[r.hold]
-		r.tokens += min(more, h.tokens-m.drawn(r.hold))
+		r.tokens += min(more, h.tokens-m.allocated(r.hold))
 	} else if more > 0 && err == nil {
 		r.tokens = used
 		free := before.Capacity - before.Held - before.Used - before.Earmarked
@@ -304,24 +305,24 @@
 	return nil
 }
 
-func (m *ledgerModel) applyKeep(l ledgerOps, run string, tokens int64) error {
+func (m *ledgerModel) applyRetainSegment(l ledgerOps, run string, tokens int64) error {
 	err := l.RetainSegment(m.now, run, "handle-"+run, tokens)
 	r, ok := m.runs[run]
 	if !ok || r.hold == "" {
-		return expect(errors.Is(err, ErrHoldUnknown), "keep without hold: %v", err)
+		return check(errors.Is(err, ErrHoldUnknown), "keep without hold: %v", err)
 	}
 	delete(m.runs, run)
 	h := m.holds[r.hold]
-	h.kept += min(tokens, h.tokens-m.drawn(r.hold))
-	return expect(err == nil, "keep: %v", err)
+	h.segmentTokens += min(tokens, h.tokens-m.allocated(r.hold))
+	return check(err == nil, "keep: %v", err)
 }
 
 func newModelLedger() *Ledger { return NewLedger(LedgerConfig{Capacity: modelCapacity}) }
 
-func TestLedgerFollowsModel(t *testing.T) {
+func TestLedgerMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ops := rapid.SliceOfN(opGen(), 20, 120).Draw(t, "ops")
-		if err := driveLedger(newModelLedger(), ops); err != nil {
+		if err := runOps(newModelLedger(), ops); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/backend/ledger_queue.go
+++ b/backend/ledger_queue.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// longQueue orders the long requests that don't fit yet, first come first
-// served. Without it a steady stream of short runs takes each freed token and a
-// long request, which needs many at once, waits for ever; one sees long prompts
-// that only ever end in refusals while the server is busy with short ones. The
-// first in the queue therefore keeps a share of what is freed, for a bounded
-// time. Guarded by the ledger's mu.
+// longQueue is a FIFO queue of the long requests that do not fit yet. Without
+// it, a steady stream of short runs would take every freed token, and a long
+// request, which needs many tokens at once, would wait forever: long prompts
+// would only ever be refused while the server is busy with short ones. A share
+// of the freed tokens is therefore earmarked for the first request in the
+// queue, for a bounded time. Guarded by the mu of the ledger.
 type longQueue struct {
-	waiting   []*waiter
-	earmark   int64     // free tokens kept for waiting[0]
-	since     time.Time // when waiting[0] began to keep tokens; zero if it doesn't
-	restUntil time.Time // nobody keeps tokens, and no oversized hold goes in, before
-	oversized bool      // a single request above the long share is in, or collects
+	waiting       []*waiter
+	earmark       int64     // free tokens set aside for waiting[0]
+	earmarkStart  time.Time // when the earmark for waiting[0] began; zero if there is none
+	cooldownUntil time.Time // until then nothing is earmarked and no oversized request is admitted
+	oversized     bool      // a single request above the long share is admitted or has an earmark
 }
 
 type waiter struct {
-	id     string
-	owner  Owner
-	tokens int64
-	asked  time.Time // when it last asked
+	id          string
+	owner       Owner
+	tokens      int64
+	lastRequest time.Time // time of its last attempt
 }
 
-// admitLong decides whether a long request of tokens may go in now and queues
-// it if not. Call with mu held.
+// admitLong admits a long request if its tokens fit now and queues it
+// otherwise. The caller must hold mu.
 func (l *Ledger) admitLong(now time.Time, id string, owner Owner, tokens int64) error {
-	l.tidyQueue(now)
-	if l.longFits(now, id, tokens) {
-		l.unqueue(id)
+	l.pruneQueue(now)
+	if l.fitsLong(now, id, tokens) {
+		l.dequeue(id)
 		if tokens > l.longLimit() {
 			l.queue.oversized = true
 		}
@@ -37,23 +37,24 @@
 	return l.enqueue(now, id, owner, tokens)
 }
 
-// longFits reports whether a long request may take its tokens now.
-func (l *Ledger) longFits(now time.Time, id string, tokens int64) bool {
-	earmark, ahead := l.queue.ahead(id)
-	if tokens > l.free()-earmark {
+// fitsLong reports whether a long request may take its tokens now.
+func (l *Ledger) fitsLong(now time.Time, id string, tokens int64) bool {
+	earmark, ahead := l.queue.reservedAhead(id)
+	if tokens > l.freeTokens()-earmark {
 		return false
 	}
 	if tokens > l.longLimit() {
-		return l.long+ahead == 0 && !now.Before(l.queue.restUntil)
+		return l.longTokens+ahead == 0 && !now.Before(l.queue.cooldownUntil)
 	}
-	return l.long+ahead+tokens <= l.longLimit()
+	return l.longTokens+ahead+tokens <= l.longLimit()
 }
 
-// ahead returns what a long request must leave to the first in the queue: the
-// free tokens it keeps, and the part of the long share it will need. Without
-// the second, smaller long requests would overtake a larger one for ever.
-func (q *longQueue) ahead(id string) (earmark, want int64) {
-	if q.since.IsZero() || q.waiting[0].id == id {
+// reservedAhead returns what a long request must leave to the first one in the
+// queue: its earmarked tokens, and the part of the long share that it will
+// need. Without the second value, smaller long requests would overtake a larger
+// one forever.
+func (q *longQueue) reservedAhead(id string) (earmark, want int64) {
+	if q.earmarkStart.IsZero() || q.waiting[0].id == id {
 		return 0, 0
 	}
 	return q.earmark, q.waiting[0].tokens
@@ -67,70 +68,71 @@
 		if w.owner != owner || w.tokens != tokens {
 			return ErrNotOwner
 		}
-		w.asked = now
-		l.collect(now)
+		w.lastRequest = now
+		l.startEarmark(now)
 		return ErrNoMemory
 	}
 	if len(l.queue.waiting) >= l.cfg.MaxWaiting {
 		return ErrTooManyReservations
 	}
-	l.queue.waiting = append(l.queue.waiting, &waiter{id: id, owner: owner, tokens: tokens, asked: now})
-	l.collect(now)
+	l.queue.waiting = append(l.queue.waiting, &waiter{id: id, owner: owner, tokens: tokens, lastRequest: now})
+	l.startEarmark(now)
 	return ErrNoMemory
 }
 
-// collect lets the first in the queue begin to keep tokens, with its share of
-// what is free at the moment.
-func (l *Ledger) collect(now time.Time) {
+// startEarmark starts the earmark for the first request in the queue, with its
+// share of the tokens that are free now.
+func (l *Ledger) startEarmark(now time.Time) {
 	q := &l.queue
-	if len(q.waiting) == 0 || !q.since.IsZero() || now.Before(q.restUntil) {
+	if len(q.waiting) == 0 || !q.earmarkStart.IsZero() || now.Before(q.cooldownUntil) {
 		return
 	}
-	q.since = now
-	l.accumulate(l.free())
+	q.earmarkStart = now
+	l.growEarmark(l.freeTokens())
 }
 
-// accumulate adds a share of tokens just freed to what the first in the queue
-// keeps. Short work is left the rest, so it slows down but never stops.
-func (l *Ledger) accumulate(tokens int64) {
+// growEarmark adds a share of the tokens just freed to the earmark of the first
+// request in the queue. The rest is left to short requests, which slow down but
+// never stop.
+func (l *Ledger) growEarmark(tokens int64) {
 	q := &l.queue
-	if len(q.waiting) == 0 || q.since.IsZero() {
+	if len(q.waiting) == 0 || q.earmarkStart.IsZero() {
 		return
 	}
 	want := q.waiting[0].tokens
-	bound := min(want, max(0, l.longLimit()-l.long))
-	if want > l.longLimit() && l.long == 0 {
+	bound := min(want, max(0, l.longLimit()-l.longTokens))
+	if want > l.longLimit() && l.longTokens == 0 {
 		bound = want
 		q.oversized = true
 	}
 	share := (tokens*l.cfg.EarmarkSharePercent + 99) / 100
 	grown := max(q.earmark, min(q.earmark+share, bound))
-	q.earmark = min(grown, l.free())
+	q.earmark = min(grown, l.freeTokens())
 }
 
-// tidyQueue drops requests whose owner stopped asking, and ends an overlong
-// collection.
-func (l *Ledger) tidyQueue(now time.Time) {
+// pruneQueue drops requests that have stopped retrying, and ends an earmark
+// that has lasted too long.
+func (l *Ledger) pruneQueue(now time.Time) {
 	q := &l.queue
 	for i := 0; i < len(q.waiting); {
-		if now.Sub(q.waiting[i].asked) > l.cfg.WaitTTL {
+		if now.Sub(q.waiting[i].lastRequest) > l.cfg.WaitTTL {
 			l.removeWaiter(i)
 			continue
 		}
 		i++
 	}
-	if !q.since.IsZero() && now.Sub(q.since) > l.cfg.MaxEarmarkTime {
-		// The request had its time. It goes to the end, so that one that can't
-		// fit here doesn't keep memory idle for ever.
+	if !q.earmarkStart.IsZero() && now.Sub(q.earmarkStart) > l.cfg.MaxEarmarkTime {
+		// The request moves to the end of the queue, so that a request that
+		// cannot fit here does not keep memory idle forever.
 		first := q.waiting[0]
 		l.removeWaiter(0)
 		q.waiting = append(q.waiting, first)
-		q.restUntil = now.Add(l.cfg.EarmarkCooldown)
+		q.cooldownUntil = now.Add(l.cfg.EarmarkCooldown)
 	}
-	l.collect(now)
+	l.startEarmark(now)
 }
 
-func (l *Ledger) unqueue(id string) {
+func (l *Ledger) dequeue(id string) {
 	for i, w := range l.queue.waiting {
 		if w.id == id {
 			l.removeWaiter(i)
@@ -139,30 +141,31 @@
 	}
 }
 
-// removeWaiter drops one waiter; the tokens that the first kept are given back.
+// removeWaiter removes one waiter. If it is the first one, its earmark is given
+// up.
 func (l *Ledger) removeWaiter(i int) {
 	q := &l.queue
 	q.waiting = append(q.waiting[:i], q.waiting[i+1:]...)
-	if i > 0 || q.since.IsZero() {
+	if i > 0 || q.earmarkStart.IsZero() {
 		return
 	}
 	q.earmark = 0
-	q.since = time.Time{}
-	l.notify()
-	if l.long <= l.longLimit() {
+	q.earmarkStart = time.Time{}
+	l.notifyFreed()
+	if l.longTokens <= l.longLimit() {
 		q.oversized = false
 	}
 }
 
-// takeLong and giveLong count the tokens of long work.
-func (l *Ledger) takeLong(tokens int64) { l.long += tokens }
+// addLongTokens and subLongTokens maintain the token count of long requests.
+func (l *Ledger) addLongTokens(tokens int64) { l.longTokens += tokens }
 
-func (l *Ledger) giveLong(now time.Time, tokens int64) {
-	l.long -= tokens
-	collecting := l.queue.earmark+l.long > l.longLimit()
+func (l *Ledger) subLongTokens(now time.Time, tokens int64) {
+	l.longTokens -= tokens
+	collecting := l.queue.earmark+l.longTokens > l.longLimit()
 	if l.queue.oversized && !collecting {
-		// Short work waited for the oversized request; it goes first now.
+		// Short requests waited for the oversized request; they go first now.
 		l.queue.oversized = false
-		l.queue.restUntil = now.Add(l.cfg.EarmarkCooldown)
+		l.queue.cooldownUntil = now.Add(l.cfg.EarmarkCooldown)
 	}
 }
--- a/backend/ledger_run.go
+++ b/backend/ledger_run.go
@@ -5,55 +5,55 @@
 	"time"
 )
 
-// RunSpec asks to admit a run.
+// RunSpec describes a run to admit.
 type RunSpec struct {
-	ID     string // the engine's name for it
+	ID     string // id of the request at the engine
 	Owner  Owner
-	HoldID string // hold that pays; empty if the run pays for itself
-	Tokens int64  // prompt and longest output
-	Long   bool   // waits in the queue of long requests if it doesn't fit
-	// QueueID names its place in that queue, so that a later attempt of the
-	// same request keeps it. Empty means ID.
+	HoldID string // hold whose tokens the run takes; empty if the run reserves its own
+	Tokens int64  // prompt and maximum output
+	Long   bool   // waits in the queue of long requests if it does not fit
+	// QueueID identifies its place in that queue, so that a later attempt of the
+	// same request keeps the place. Empty means ID.
 	QueueID string
 }
 
-// Admit reserves a run's tokens, or draws them from its hold.
+// Admit reserves the tokens of a run, or takes them from its hold.
 func (l *Ledger) Admit(now time.Time, spec RunSpec) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	defer l.check()
+	defer l.checkInvariants()
 	if _, ok := l.runs[spec.ID]; ok {
 		return ErrRunExists
 	}
-	if spec.Owner.Incarnation < l.owners[spec.Owner.Entry] {
+	if spec.Owner.Incarnation < l.ownerIncarnations[spec.Owner.Entry] {
 		return ErrOwnerReplaced
 	}
 	r := &ledgerRun{id: spec.ID, owner: spec.Owner, tokens: spec.Tokens, long: spec.Long}
 	if spec.HoldID != "" {
-		return l.drawRun(now, r, spec.HoldID)
+		return l.admitOnHold(now, r, spec.HoldID)
 	}
-	return l.payRun(now, r, cmp.Or(spec.QueueID, spec.ID))
+	return l.admitStandalone(now, r, cmp.Or(spec.QueueID, spec.ID))
 }
 
-func (l *Ledger) drawRun(now time.Time, r *ledgerRun, holdID string) error {
+func (l *Ledger) admitOnHold(now time.Time, r *ledgerRun, holdID string) error {
 	h, ok := l.holds[holdID]
-	if !ok || (now.After(h.expiry) && h.running == 0) {
+	if !ok || (now.After(h.expiry) && h.activeRuns == 0) {
 		return ErrHoldUnknown
 	}
 	if h.owner != r.owner {
 		return ErrNotOwner
 	}
-	if r.tokens <= 0 || r.tokens > h.tokens-h.drawn {
+	if r.tokens <= 0 || r.tokens > h.tokens-h.allocated {
 		return ErrNeverFits
 	}
-	h.drawn += r.tokens
-	h.running++
+	h.allocated += r.tokens
+	h.activeRuns++
 	r.hold = h
 	l.runs[r.id] = r
 	return nil
 }
 
-func (l *Ledger) payRun(now time.Time, r *ledgerRun, queueID string) error {
+func (l *Ledger) admitStandalone(now time.Time, r *ledgerRun, queueID string) error {
 	if r.tokens <= 0 || r.tokens > l.cfg.Capacity {
 		return ErrNeverFits
 	}
@@ -61,29 +61,30 @@
 		if err := l.admitLong(now, queueID, r.owner, r.tokens); err != nil {
 			return err
 		}
-		l.takeLong(r.tokens)
+		l.addLongTokens(r.tokens)
 	} else {
-		l.tidyQueue(now)
-		if r.tokens > l.free()-l.queue.earmark {
+		l.pruneQueue(now)
+		if r.tokens > l.freeTokens()-l.queue.earmark {
 			return ErrNoMemory
 		}
 	}
-	l.reserved += r.tokens
+	l.reservedTokens += r.tokens
 	l.runs[r.id] = r
 	return nil
 }
 
-// CancelWait drops a long request that gave up waiting to be admitted.
+// CancelWait removes a long request that no longer waits for admission.
 func (l *Ledger) CancelWait(queueID string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	defer l.check()
-	l.unqueue(queueID)
+	defer l.checkInvariants()
+	l.dequeue(queueID)
 }
 
-// UpdateUsage notes that the engine uses so many tokens for a run. A use beyond the
-// reservation takes free tokens; if there are none it returns ErrNoMemory, and
-// the surplus appears as Excess with the next Reconcile.
+// UpdateUsage records how many tokens the engine uses for a run. Usage beyond
+// the reservation takes free tokens of the ledger, or of the hold of the run.
+// If the ledger has too few free tokens, it returns ErrNoMemory; the surplus
+// appears as Excess after the next Reconcile.
 func (l *Ledger) UpdateUsage(id string, used int64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,83 +92,84 @@
 	if !ok || used <= r.used {
 		return nil
 	}
-	defer l.check()
+	defer l.checkInvariants()
 	var err error
 	if used > r.tokens {
-		err = l.enlarge(r, used-r.tokens)
+		err = l.growReservation(r, used-r.tokens)
 		used = min(used, r.tokens)
 	}
-	l.used += used - r.used
+	l.usedTokens += used - r.used
 	r.used = used
 	return err
 }
 
-func (l *Ledger) enlarge(r *ledgerRun, more int64) error {
+func (l *Ledger) growReservation(r *ledgerRun, more int64) error {
 	if h := r.hold; h != nil {
-		more = min(more, h.tokens-h.drawn)
-		h.drawn += more
+		more = min(more, h.tokens-h.allocated)
+		h.allocated += more
 		r.tokens += more
 		return nil
 	}
-	if more > l.free()-l.queue.earmark {
+	if more > l.freeTokens()-l.queue.earmark {
 		return ErrNoMemory
 	}
 	if r.long {
-		if l.long+l.queue.earmark+more > l.longLimit() && !l.queue.oversized {
+		if l.longTokens+l.queue.earmark+more > l.longLimit() && !l.queue.oversized {
 			return ErrNoMemory
 		}
-		l.takeLong(more)
+		l.addLongTokens(more)
 	}
-	l.reserved += more
+	l.reservedTokens += more
 	r.tokens += more
 	return nil
 }
 
-// Finish frees a run's tokens. It reports false if there is no such run, which
-// makes a second call harmless.
+// Finish frees the tokens of a run. It returns false if there is no such run,
+// so a second call is harmless.
 func (l *Ledger) Finish(now time.Time, id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	defer l.check()
+	defer l.checkInvariants()
 	r, ok := l.runs[id]
 	if !ok {
 		return false
 	}
-	l.finish(now, r)
+	l.finishRun(now, r)
 	return true
 }
 
-func (l *Ledger) finish(now time.Time, r *ledgerRun) {
+func (l *Ledger) finishRun(now time.Time, r *ledgerRun) {
 	delete(l.runs, r.id)
-	l.used -= r.used
+	l.usedTokens -= r.used
 	if r.hold != nil {
-		r.hold.drawn -= r.tokens
-		r.hold.running--
+		r.hold.allocated -= r.tokens
+		r.hold.activeRuns--
 		return
 	}
-	l.reserved -= r.tokens
+	l.reservedTokens -= r.tokens
 	if r.long {
-		l.giveLong(now, r.tokens)
+		l.subLongTokens(now, r.tokens)
 	}
-	l.freed(r.tokens)
+	l.recordFreed(r.tokens)
 }
 
-// RetainSegment finishes a run whose KV the engine keeps under a handle: the tokens stay
-// charged to the hold until it ends. It returns ErrHoldUnknown if the hold ended
-// meanwhile; the caller must then free the segment.
+// RetainSegment finishes a run whose KV the engine retains as an exported
+// segment under a handle: the tokens stay charged to the hold until it ends. It
+// returns ErrHoldUnknown if the hold has ended; the caller must then free the
+// segment.
 func (l *Ledger) RetainSegment(now time.Time, id, handle string, tokens int64) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	defer l.check()
+	defer l.checkInvariants()
 	r, ok := l.runs[id]
 	if !ok || r.hold == nil {
 		return ErrHoldUnknown
 	}
 	h := r.hold
-	tokens = min(tokens, h.tokens-h.drawn+r.tokens)
-	l.finish(now, r)
-	h.kept[handle] += tokens
-	h.drawn += tokens
-	l.used += tokens
+	tokens = min(tokens, h.tokens-h.allocated+r.tokens)
+	l.finishRun(now, r)
+	h.segments[handle] += tokens
+	h.allocated += tokens
+	l.usedTokens += tokens
 	return nil
 }
--- a/backend/ledger_test.go
+++ b/backend/ledger_test.go
@@ -22,11 +22,11 @@
 	}
 }
 
-// Symptom: memory held with no owner until the hold's time is up.
-// Sequence: an entry gives up a Hold that it thinks lost and sends Release on
-// another connection; Release arrives first, then the Hold.
-// Cause: the late Hold looks like a new one.
-func TestHoldAfterItsReleaseIsRefused(t *testing.T) {
+// Guards against a hold that is granted after its release and occupies memory
+// without an owner until it expires. An entry gives up a Hold that it assumes
+// lost and sends Release on another connection; Release arrives first, and the
+// late Hold looks like a new one.
+func TestHoldAfterReleaseIsRejected(t *testing.T) {
 	l := NewLedger(LedgerConfig{Capacity: 100})
 	if _, err := l.Release(ledgerStart, "h", entryA); !errors.Is(err, ErrHoldUnknown) {
 		t.Fatal(err)
@@ -37,11 +37,11 @@
 	}
 }
 
-// Symptom: an engine loses memory for good when an entry is replaced.
-// Sequence: an entry holds, keeps a segment and runs; it dies and its successor
-// with the same name is heard.
-// Cause: nobody is left who would release.
-func TestNewIncarnationFreesTheOld(t *testing.T) {
+// Guards against an engine that loses memory permanently when an entry is
+// replaced. An entry has a hold, an exported segment and a run; it dies, and
+// its successor has the same name. The dead entry can no longer release
+// anything.
+func TestNewIncarnationReleasesOldOwner(t *testing.T) {
 	l := NewLedger(LedgerConfig{Capacity: 100})
 	if _, err := l.ObserveOwner(ledgerStart, entryA); err != nil {
 		t.Fatal(err)
@@ -72,8 +72,8 @@
 	}
 }
 
-// shortLoad keeps an engine full of short runs of 10 tokens that take a second
-// each, and asks for the same again in place of each that ends.
+// shortLoad keeps an engine full of short runs of 10 tokens that take about a
+// second each, and replaces each run that ends.
 type shortLoad struct {
 	ledger *Ledger
 	ends   map[string]time.Time
@@ -99,11 +99,11 @@
 	}
 }
 
-// Symptom: a long prompt waits for ever while short ones come and go.
-// Sequence: the engine is full of short runs; each one that ends is replaced at
-// once; a hold of 60% of the memory asks again every 100 ms.
-// Cause: freed memory goes to whoever fits first, which is always a short run.
-func TestShortRunsDontStarveALongHold(t *testing.T) {
+// Guards against a long prompt that waits forever behind short ones. The engine
+// is full of short runs, each of which is replaced as soon as it ends; a hold
+// of 60% of the memory retries every 100 ms. Without an earmark, freed memory
+// goes to the first request that fits, which is always a short run.
+func TestShortRunsDoNotStarveLongHold(t *testing.T) {
 	l := NewLedger(LedgerConfig{Capacity: 1000})
 	short := &shortLoad{ledger: l, ends: map[string]time.Time{}}
 	granted := time.Duration(-1)
@@ -121,10 +121,10 @@
 	t.Logf("granted after %v; %d short runs done meanwhile", granted, short.done)
 }
 
-// Symptom: short prompts are refused for minutes.
-// Sequence: holds of 60% ask in a steady stream, each used for 3 s.
-// Cause: the queue of long requests keeps all that is freed.
-func TestLongHoldsDontStarveShortRuns(t *testing.T) {
+// Guards against short prompts that are refused for minutes. Holds of 60% of
+// the memory are requested in a steady stream, each used for 3 s; the queue of
+// long requests must not earmark everything that is freed.
+func TestLongHoldsDoNotStarveShortRuns(t *testing.T) {
 	l := NewLedger(LedgerConfig{Capacity: 1000})
 	short := &shortLoad{ledger: l, ends: map[string]time.Time{}}
 	ends := map[string]time.Time{}
@@ -163,12 +163,11 @@
 	t.Logf("%d holds, %d short runs in a minute", holds, short.done)
 }
 
-// Symptom: a hold as large as the engine never gets in, or keeps short work out
-// for ever.
-// Sequence: short load as above; a hold of the whole memory asks; it is released
-// and the next such hold asks at once.
-// Cause: only an empty engine fits it.
-func TestOversizedHoldsAndShortRunsTakeTurns(t *testing.T) {
+// Guards against a hold as large as the engine that is never granted, or that
+// blocks short runs forever. Under the same load of short runs, a hold of the
+// whole memory is requested; it is released, and the next such hold is
+// requested at once. Such a hold fits only into an empty engine.
+func TestOversizedHoldsAlternateWithShortRuns(t *testing.T) {
 	l := NewLedger(LedgerConfig{Capacity: 1000})
 	short := &shortLoad{ledger: l, ends: map[string]time.Time{}}
 	granted, held, released := 0, time.Time{}, time.Time{}
@@ -179,8 +178,8 @@
 		case held.IsZero():
 			if _, err := l.Hold(now, HoldSpec{ID: id, Owner: entryA, Tokens: 1000, TTL: 9 * time.Second}); err == nil {
 				held = now
-				if now.Sub(released) < defaultRest {
-					t.Fatalf("no turn for short runs: %v after the last", now.Sub(released))
+				if now.Sub(released) < defaultEarmarkCooldown {
+					t.Fatalf("oversized hold granted only %v after the last one, without a turn for short runs", now.Sub(released))
 				}
 			}
 		case now.Sub(held) > time.Second:
@@ -196,11 +195,11 @@
 	t.Logf("%d oversized holds, %d short runs in a minute", granted, short.done)
 }
 
-// Symptom: an engine's memory fills with runs that nobody reads.
-// Sequence: an agent dies and its successor starts with an empty ledger; the
-// engine still reports a run and an exported segment.
-// Cause: the requests outlive the process that asked for them.
-func TestReconcileNamesOrphansAndKeepsTheirMemory(t *testing.T) {
+// Guards against an engine whose memory fills with runs that no client reads.
+// An agent dies and its successor starts with an empty ledger, while the engine
+// still reports a run and an exported segment: requests at the engine outlive
+// the process that sent them.
+func TestReconcileReportsOrphans(t *testing.T) {
 	l := NewLedger(LedgerConfig{Capacity: 100})
 	if err := l.Admit(ledgerStart, RunSpec{ID: "mine", Owner: entryA, Tokens: 10}); err != nil {
 		t.Fatal(err)
--- a/backend/table.go
+++ b/backend/table.go
@@ -11,8 +11,8 @@
 	"github.com/briarturn/briarturn/invariant"
 )
 
-// Defaults of TableOptions. A home hears a report at least every four seconds,
-// so that ten seconds are two lost reports and some delay.
+// Defaults of TableOptions. A home receives a report at least every four
+// seconds, so ten seconds allow for two lost reports and some delay.
 const (
 	DefaultSuspectAfter = 10 * time.Second
 	DefaultDirectTTL    = 45 * time.Second
@@ -20,20 +20,21 @@
 	DefaultMaxRows      = 16_384
 )
 
-var tableForward = invariant.New("backend.table.forward",
-	"a row's incarnation and sequence never go back")
+var tableMonotonic = invariant.New("backend.table.forward",
+	"the incarnation and the sequence of a row never go back")
 
-// TableOptions configures a Table. Zero fields take the defaults.
+// TableOptions configures a Table. Zero fields are set to the defaults.
 type TableOptions struct {
-	// SuspectAfter is the silence after which a directly heard server is
-	// suspect, DirectTTL that after which its row is dropped.
+	// SuspectAfter is the time without a sample after which a server with a direct
+	// row becomes suspect, DirectTTL the time after which its row is removed.
 	SuspectAfter time.Duration
 	DirectTTL    time.Duration
-	// IndirectTTL is the silence after which a row that is known only through
-	// digests is dropped. Such a row never becomes suspect by silence.
+	// IndirectTTL is the time without a sample after which a row that is updated
+	// only through digests is removed. Such a row never becomes suspect by a lack
+	// of samples.
 	IndirectTTL time.Duration
 	MaxRows     int
-	Metrics     metrics.Registry // nil: counted nowhere
+	Metrics     metrics.Registry // nil: a private registry
 }
 
 func (o TableOptions) withDefaults() TableOptions {
@@ -47,53 +48,54 @@
 	return o
 }
 
-// Table is what one entry knows of backend servers. All of it is soft state: it
-// is rebuilt from reports after a restart. All methods are safe for concurrent
-// use.
+// Table is the view that one entry has of the backend servers. It is soft
+// state, rebuilt from reports after a restart. All methods are safe for
+// concurrent use.
 //
 // Table.mu guards rows, pools and every record. No method calls out of the
 // package while it holds mu, so mu comes last in any lock order.
 type Table struct {
-	opts  TableOptions
-	stale metrics.Counter
-	full  metrics.Counter
+	opts         TableOptions
+	staleSamples metrics.Counter
+	rowsRejected metrics.Counter
 
 	mu    sync.RWMutex
 	rows  map[uint64]*record
-	pools map[string][]*record // in the order of their keys
-	// lastID numbers dispatches over the whole table, so that a late Done
-	// never meets a dispatch to a row that was dropped and came back.
-	lastID uint64
+	pools map[string][]*record // sorted by key
+	// lastDispatchID numbers dispatches over the whole table, so that a late
+	// EndDispatch never matches a dispatch to a row that was removed and added
+	// again.
+	lastDispatchID uint64
 }
 
-// record is one row with what readers don't need.
+// record is a row with state that readers do not need.
 type record struct {
-	row    Row
-	marked bool // the VM list said that it leaves; holds for this incarnation
-	own    []ownDispatch
-	// describedSeq is the sequence that came with the description.
-	describedSeq uint64
+	row           Row
+	markedLeaving bool // the VM list or a refusal says that it leaves; applies to this incarnation
+	dispatches    []unreportedDispatch
+	// descriptorSequence is the sequence number that came with the descriptor.
+	descriptorSequence uint64
 }
 
 // NewTable returns an empty table.
 func NewTable(opts TableOptions) *Table {
 	opts = opts.withDefaults()
 	return &Table{
-		opts:  opts,
-		stale: metrics.GetOrRegisterCounter("backend.table.stale", opts.Metrics),
-		full:  metrics.GetOrRegisterCounter("backend.table.full", opts.Metrics),
-		rows:  map[uint64]*record{},
-		pools: map[string][]*record{},
+		opts:         opts,
+		staleSamples: metrics.GetOrRegisterCounter("backend.table.stale", opts.Metrics),
+		rowsRejected: metrics.GetOrRegisterCounter("backend.table.full", opts.Metrics),
+		rows:         map[uint64]*record{},
+		pools:        map[string][]*record{},
 	}
 }
 
-// KeyOf returns the key of a backend server's name.
+// KeyOf returns the row key for the name of a backend server.
 func KeyOf(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Lookup returns a copy of the row of a name.
+// Lookup returns a copy of the row of the named server.
 func (t *Table) Lookup(name string) (Row, bool) { return t.LookupKey(KeyOf(name)) }
 
-// LookupKey returns a copy of the row of a key.
+// LookupKey returns a copy of the row with the given key.
 func (t *Table) LookupKey(key uint64) (Row, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -111,14 +113,14 @@
 	return len(t.rows)
 }
 
-// insert adds a record to the maps. The caller holds mu.
+// insert adds a record to the maps. The caller must hold mu.
 func (t *Table) insert(rec *record) {
 	t.rows[rec.row.Key] = rec
-	t.joinPool(rec)
+	t.addToPool(rec)
 }
 
-// remove drops a record. The caller holds mu.
+// remove removes a record from the maps. The caller must hold mu.
 func (t *Table) remove(rec *record) {
-	t.leavePool(rec)
+	t.removeFromPool(rec)
 	delete(t.rows, rec.row.Key)
 }
--- a/backend/table_own.go
+++ b/backend/table_own.go
@@ -5,30 +5,32 @@
 	"time"
 )
 
-// DispatchLoad is what one dispatch brings to a server, in tokens.
+// DispatchLoad is the load that one dispatch adds to a server, in tokens.
 type DispatchLoad struct {
-	Prefill int64 // to prefill, less what is expected in the cache
-	Tokens  int64 // KV memory: prompt and output
-	Long    bool  // a long prompt
+	Prefill int64 // to prefill, less the expected cache hit
+	Tokens  int64 // KV memory for prompt and output
+	Long    bool  // the prompt is long
 }
 
-// Dispatch names one Begin, for its Done. The zero value names none.
+// Dispatch identifies one BeginDispatch for the matching EndDispatch. The zero
+// value identifies none.
 type Dispatch struct {
 	key         uint64
 	incarnation uint64
 	id          uint64
 }
 
-// ownDispatch is a dispatch that the row's sample can't contain yet.
-type ownDispatch struct {
+// unreportedDispatch is a dispatch that the sample of the row cannot include
+// yet.
+type unreportedDispatch struct {
 	id   uint64
 	at   time.Time
 	work DispatchLoad
 }
 
-// Begin counts a dispatch to a server until Done, or until a sample taken after
-// it arrives. Without it every request between two reports would go to the
-// server that looked best in the last one.
+// BeginDispatch counts a dispatch to a server until EndDispatch, or until a
+// sample arrives that was taken after it. Without it, every request between two
+// reports would go to the server that looked best in the last one.
 func (t *Table) BeginDispatch(name string, w DispatchLoad, now time.Time) Dispatch {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -36,14 +38,15 @@
 	if rec == nil {
 		return Dispatch{}
 	}
-	t.lastID++
-	rec.own = append(rec.own, ownDispatch{t.lastID, now, w})
-	rec.sumOwn()
-	return Dispatch{rec.row.Key, rec.row.Incarnation, t.lastID}
+	t.lastDispatchID++
+	rec.dispatches = append(rec.dispatches, unreportedDispatch{t.lastDispatchID, now, w})
+	rec.sumUnreported()
+	return Dispatch{rec.row.Key, rec.row.Incarnation, t.lastDispatchID}
 }
 
-// Done ends the counting of a dispatch: at a refusal, at an Admit or End whose
-// load was taken in, or when the attempt failed. Later calls do nothing.
+// EndDispatch stops counting a dispatch: after a refusal, after an Admit or End
+// message whose load was recorded, or when the attempt failed. Further calls do
+// nothing.
 func (t *Table) EndDispatch(d Dispatch) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -51,22 +54,22 @@
 	if rec == nil || d.id == 0 || rec.row.Incarnation != d.incarnation {
 		return
 	}
-	rec.own = slices.DeleteFunc(rec.own, func(o ownDispatch) bool { return o.id == d.id })
-	rec.sumOwn()
+	rec.dispatches = slices.DeleteFunc(rec.dispatches, func(o unreportedDispatch) bool { return o.id == d.id })
+	rec.sumUnreported()
 }
 
-// forgetBefore drops the dispatches that a sample taken at the given time
-// contains.
-func (rec *record) forgetBefore(at time.Time) {
-	rec.own = slices.DeleteFunc(rec.own, func(o ownDispatch) bool { return o.at.Before(at) })
-	rec.sumOwn()
+// removeDispatchesBefore removes the dispatches that a sample taken at the
+// given time includes.
+func (rec *record) removeDispatchesBefore(at time.Time) {
+	rec.dispatches = slices.DeleteFunc(rec.dispatches, func(o unreportedDispatch) bool { return o.at.Before(at) })
+	rec.sumUnreported()
 }
 
-func (rec *record) sumOwn() {
+func (rec *record) sumUnreported() {
 	row := &rec.row
-	row.UnreportedRequests = int32(len(rec.own))
+	row.UnreportedRequests = int32(len(rec.dispatches))
 	row.UnreportedPrefill, row.UnreportedTokens, row.UnreportedLongPrefill = 0, 0, 0
-	for _, o := range rec.own {
+	for _, o := range rec.dispatches {
 		row.UnreportedPrefill += o.work.Prefill
 		row.UnreportedTokens += o.work.Tokens
 		if o.work.Long {
--- a/backend/table_pool.go
+++ b/backend/table_pool.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Rows appends a copy of each row of a pool to out, in the order of their keys.
-// Its cost grows with the pool; a decision in a large pool uses Sample.
+// Rows appends a copy of each row of a pool to out, sorted by key. Its cost
+// grows with the size of the pool; placement in a large pool uses Sample.
 func (t *Table) Rows(pool string, out []Row) []Row {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -17,9 +17,9 @@
 	return out
 }
 
-// Sample appends n rows of a pool to out, evenly drawn without repetition, and
-// the rows of the keys in also that were not drawn. A pool of at most n rows is
-// given whole.
+// Sample appends n rows of a pool to out, drawn at random without repetition,
+// and the rows of the keys in also that were not drawn. If the pool has at most
+// n rows, it appends all of them.
 func (t *Table) Sample(pool string, n int, also []uint64, rnd *rand.Rand, out []Row) []Row {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -31,9 +31,9 @@
 		return out
 	}
 	first := len(out)
-	// One row of each of n parts needs no set of the drawn. The parts begin at a
-	// random row: they differ in length by one, and a row that always stood in a
-	// shorter part would be drawn, and loaded, more than others.
+	// Drawing one row from each of n parts needs no set of drawn rows. The parts
+	// start at a random row: their lengths differ by one, and a row that was
+	// always in a shorter part would be drawn, and loaded, more than others.
 	shift := rnd.IntN(len(recs))
 	for i := range n {
 		low, high := i*len(recs)/n, (i+1)*len(recs)/n
@@ -42,7 +42,7 @@
 	drawn := out[first:]
 	for _, key := range also {
 		rec := t.rows[key]
-		if rec == nil || rec.row.Pool != pool || hasKey(drawn, key) {
+		if rec == nil || rec.row.Pool != pool || containsKey(drawn, key) {
 			continue
 		}
 		out = append(out, rec.row)
@@ -50,8 +50,8 @@
 	return out
 }
 
-func hasKey(rows []Row, key uint64) bool {
-	for i := range rows { // by index: a Row is large
+func containsKey(rows []Row, key uint64) bool {
+	for i := range rows { // by index, because a Row is large to copy
 		if rows[i].Key == key {
 			return true
 		}
@@ -59,8 +59,8 @@
 	return false
 }
 
-// LeastLoaded appends at most n live rows of a pool that this entry hears
-// directly, those with the least work first. It is what a digest is made of.
+// LeastLoaded appends to out at most n live, direct rows of a pool in
+// increasing order of pending work. Digests are built from it.
 func (t *Table) LeastLoaded(pool string, n int, out []Row) []Row {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -69,16 +69,16 @@
 		if !rec.row.Direct || rec.row.State != StateLive {
 			continue
 		}
-		out = insertLeast(out, first, n, &rec.row)
+		out = insertByWork(out, first, n, &rec.row)
 	}
 	return out
 }
 
-// insertLeast keeps out[first:] sorted by work and at most n long.
-func insertLeast(out []Row, first, n int, row *Row) []Row {
-	work := row.work()
+// insertByWork keeps out[first:] sorted by pending work and at most n long.
+func insertByWork(out []Row, first, n int, row *Row) []Row {
+	work := row.pendingWork()
 	at := len(out)
-	for at > first && out[at-1].work() > work {
+	for at > first && out[at-1].pendingWork() > work {
 		at--
 	}
 	if at-first >= n {
@@ -90,11 +90,12 @@
 	return slices.Insert(out, at, *row)
 }
 
-// work orders rows for a digest: tokens to prefill, then requests.
-func (r *Row) work() int64 {
-	const tokensOfRequest = 256
+// pendingWork is the sort key of rows for a digest: the tokens to prefill, plus
+// 256 for each running or waiting request.
+func (r *Row) pendingWork() int64 {
+	const tokensPerRequest = 256
 	prefill := r.Load.PrefillShort + r.Load.PrefillLong
-	return prefill + tokensOfRequest*int64(r.Load.Running+r.Load.Waiting)
+	return prefill + tokensPerRequest*int64(r.Load.Running+r.Load.Waiting)
 }
 
 // Pools returns the names of the pools that have rows, sorted.
@@ -109,15 +110,15 @@
 	return names
 }
 
-// joinPool adds a record to its pool. The caller holds mu.
-func (t *Table) joinPool(rec *record) {
+// addToPool adds a record to its pool. The caller must hold mu.
+func (t *Table) addToPool(rec *record) {
 	recs := t.pools[rec.row.Pool]
 	at, _ := slices.BinarySearchFunc(recs, rec.row.Key, compareKey)
 	t.pools[rec.row.Pool] = slices.Insert(recs, at, rec)
 }
 
-// leavePool takes a record out of its pool. The caller holds mu.
-func (t *Table) leavePool(rec *record) {
+// removeFromPool removes a record from its pool. The caller must hold mu.
+func (t *Table) removeFromPool(rec *record) {
 	recs := t.pools[rec.row.Pool]
 	at, ok := slices.BinarySearchFunc(recs, rec.row.Key, compareKey)
 	if !ok {
--- a/backend/table_state.go
+++ b/backend/table_state.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// MarkLeaving notes that a server leaves, from the VM list or a refusal. The
-// mark holds until the server's next incarnation: samples don't lift it.
+// MarkLeaving marks a server as leaving, after the VM list or a refusal said
+// so. The mark stays until the next incarnation of the server: samples do not
+// clear it.
 func (t *Table) MarkLeaving(name string) {
-	t.mark(name, func(rec *record) {
-		rec.marked = true
+	t.updateRecord(name, func(rec *record) {
+		rec.markedLeaving = true
 		rec.row.State = StateLeaving
 	})
 }
 
-// MarkSuspect notes that a live server did not answer. The next sample that is
-// newer than the row's lifts it.
+// MarkSuspect marks a live server that did not respond as suspect. The next
+// sample that is newer than that of the row clears the mark.
 func (t *Table) MarkSuspect(name string) {
-	t.mark(name, func(rec *record) {
+	t.updateRecord(name, func(rec *record) {
 		if rec.row.State == StateLive {
 			rec.row.State = StateSuspect
 		}
 	})
 }
 
-// MarkDead notes that a server is dead. The next sample that is newer than the
-// row's lifts it.
+// MarkDead marks a server as dead. The next sample that is newer than that of
+// the row clears the mark.
 func (t *Table) MarkDead(name string) {
-	t.mark(name, func(rec *record) { rec.row.State = StateDead })
+	t.updateRecord(name, func(rec *record) { rec.row.State = StateDead })
 }
 
-func (t *Table) mark(name string, change func(*record)) {
+func (t *Table) updateRecord(name string, change func(*record)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if rec := t.rows[KeyOf(name)]; rec != nil {
@@ -35,14 +36,15 @@
 	}
 }
 
-// Sweep turns silent servers suspect and drops those that are silent for
-// longer. It returns how many it dropped. Call it about once a second.
+// Sweep marks servers without recent samples as suspect and removes those
+// without samples for longer. It returns the number of removed rows. It should
+// be called about once a second.
 func (t *Table) Sweep(now time.Time) (dropped int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, rec := range t.rows {
 		silence := now.Sub(rec.row.LastSeen)
-		if silence > t.keep(rec) {
+		if silence > t.rowTTL(rec) {
 			t.remove(rec)
 			dropped++
 			continue
@@ -55,7 +57,7 @@
 	return dropped
 }
 
-func (t *Table) keep(rec *record) time.Duration {
+func (t *Table) rowTTL(rec *record) time.Duration {
 	if rec.row.Direct {
 		return t.opts.DirectTTL
 	}
--- a/backend/table_test.go
+++ b/backend/table_test.go
@@ -15,7 +15,7 @@
 
 func at(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
 
-func described(name string) Descriptor {
+func testDescriptor(name string) Descriptor {
 	return Descriptor{Name: name, Pool: "p", MemoryTokens: 1000}
 }
 
@@ -28,55 +28,54 @@
 	return row
 }
 
-// Symptom: an entry sends to the address of a server's former life.
-// Sequence: the server restarts and says so; a report of the former
-// incarnation, delayed in the network, arrives after that.
-// Cause: a table that takes whatever arrives last.
-func TestOlderIncarnationAndSequenceAreDropped(t *testing.T) {
+// Guards against a table that accepts the message that arrives last, so that an
+// entry sends to the address of a former incarnation. The server restarts and
+// reports itself; a report of the former incarnation, delayed in the network,
+// arrives after that.
+func TestOlderSamplesAreDropped(t *testing.T) {
 	table := NewTable(TableOptions{})
-	table.Observe(described("a"), 2, Load{Sequence: 5, Running: 1}, at(0))
+	table.Observe(testDescriptor("a"), 2, Load{Sequence: 5, Running: 1}, at(0))
 	table.ObserveLoad(KeyOf("a"), 1, Load{Sequence: 99, Running: 9}, 0, at(1))
 	table.ObserveLoad(KeyOf("a"), 2, Load{Sequence: 4, Running: 9}, 0, at(1))
-	if table.Observe(described("a"), 1, Load{Sequence: 100}, at(1)) {
-		t.Error("took the description of an older incarnation")
+	if table.Observe(testDescriptor("a"), 1, Load{Sequence: 100}, at(1)) {
+		t.Error("accepted the descriptor of an older incarnation")
 	}
 	if row := mustLookup(t, table, "a"); row.Load.Running != 1 || row.Incarnation != 2 {
-		t.Errorf("row went back: %+v", row)
+		t.Errorf("row was overwritten with an older sample: %+v", row)
 	}
-	if got := table.stale.Count(); got != 3 {
+	if got := table.staleSamples.Count(); got != 3 {
 		t.Errorf("stale = %d, want 3", got)
 	}
 }
 
-func TestNewIncarnationWantsDescription(t *testing.T) {
+func TestNewIncarnationNeedsDescriptor(t *testing.T) {
 	table := NewTable(TableOptions{})
 	if table.ObserveLoad(KeyOf("a"), 1, Load{Sequence: 1}, 0, at(0)) {
-		t.Error("an unknown server is known")
+		t.Error("ObserveLoad returned true for an unknown server")
 	}
-	table.Observe(described("a"), 1, Load{Sequence: 7}, at(0))
+	table.Observe(testDescriptor("a"), 1, Load{Sequence: 7}, at(0))
 	for i := range 2 {
 		if table.ObserveLoad(KeyOf("a"), 2, Load{Sequence: uint64(i + 1)}, 0, at(1)) {
-			t.Error("a new incarnation is known before it described itself")
+			t.Error("ObserveLoad returned true for a new incarnation without a descriptor")
 		}
 	}
-	table.Observe(described("a"), 2, Load{Sequence: 3}, at(2))
+	table.Observe(testDescriptor("a"), 2, Load{Sequence: 3}, at(2))
 	if !table.ObserveLoad(KeyOf("a"), 2, Load{Sequence: 4}, 0, at(3)) {
-		t.Error("a described incarnation is unknown")
+		t.Error("ObserveLoad returned false for an incarnation with a descriptor")
 	}
 }
 
-// Symptom: a burst goes to one server.
-// Sequence: the server reports an empty queue; the entry sends it request after
-// request until the next report.
-// Cause: a choice that knows nothing of what it sent itself.
-func TestOwnDispatchesCountUntilANewerSample(t *testing.T) {
+// Guards against a burst of requests to one server. The server reports an empty
+// queue, and the entry sends it request after request until the next report,
+// if placement ignores what the entry has dispatched itself.
+func TestDispatchesCountUntilNewerSample(t *testing.T) {
 	table := NewTable(TableOptions{})
-	table.Observe(described("a"), 1, Load{Sequence: 1}, at(0))
+	table.Observe(testDescriptor("a"), 1, Load{Sequence: 1}, at(0))
 	first := table.BeginDispatch("a", DispatchLoad{Prefill: 10, Tokens: 20}, at(1))
 	table.BeginDispatch("a", DispatchLoad{Prefill: 100, Tokens: 200, Long: true}, at(3))
 	row := mustLookup(t, table, "a")
 	if row.UnreportedRequests != 2 || row.UnreportedPrefill != 110 || row.UnreportedLongPrefill != 100 || row.FreeTokens() != 780 {
-		t.Errorf("own counts: %+v", row)
+		t.Errorf("unreported counts: %+v", row)
 	}
 	table.ObserveLoad(KeyOf("a"), 1, Load{Sequence: 2}, 2*time.Second, at(4)) // taken at 2
 	table.EndDispatch(first)
@@ -89,28 +88,28 @@
 	}
 }
 
-// Symptom: a leaving server gets work again, or its replacement never does.
-// Sequence: the VM list names the server; its agent, which lags, still reports
-// itself as well; later a VM of the same name starts.
-// Cause: a mark that a sample lifts, or that outlives the incarnation.
-func TestLeavingHoldsForOneIncarnation(t *testing.T) {
+// Guards against a leaving server that gets work again, and against a
+// replacement that never gets any. The VM list names the server as leaving,
+// while its lagging agent still sends reports; later a VM of the same name
+// starts. The mark must survive samples, but not the incarnation.
+func TestLeavingAppliesToOneIncarnation(t *testing.T) {
 	table := NewTable(TableOptions{})
-	table.Observe(described("a"), 1, Load{Sequence: 1}, at(0))
+	table.Observe(testDescriptor("a"), 1, Load{Sequence: 1}, at(0))
 	table.MarkLeaving("a")
 	table.ObserveLoad(KeyOf("a"), 1, Load{Sequence: 2}, 0, at(1))
 	if row := mustLookup(t, table, "a"); row.State != StateLeaving {
 		t.Errorf("state %d, want leaving", row.State)
 	}
-	table.Observe(described("a"), 2, Load{Sequence: 1}, at(2))
+	table.Observe(testDescriptor("a"), 2, Load{Sequence: 1}, at(2))
 	if row := mustLookup(t, table, "a"); row.State != StateLive {
 		t.Errorf("state of the replacement %d, want live", row.State)
 	}
 }
 
-func TestSweepBySilence(t *testing.T) {
+func TestSweepSilentServers(t *testing.T) {
 	table := NewTable(TableOptions{SuspectAfter: 10 * time.Second, DirectTTL: 40 * time.Second})
-	table.Observe(described("a"), 1, Load{Sequence: 1}, at(0))
-	table.Observe(described("b"), 1, Load{Sequence: 1}, at(5))
+	table.Observe(testDescriptor("a"), 1, Load{Sequence: 1}, at(0))
+	table.Observe(testDescriptor("b"), 1, Load{Sequence: 1}, at(5))
 	table.Sweep(at(11))
 	if a, b := mustLookup(t, table, "a"), mustLookup(t, table, "b"); a.State != StateSuspect || b.State != StateLive {
 		t.Errorf("states %d %d, want suspect, live", a.State, b.State)
@@ -126,11 +125,11 @@
 
 func TestDigestIsUsedOnlyIfNewer(t *testing.T) {
 	table := NewTable(TableOptions{})
-	table.Observe(described("a"), 1, Load{Sequence: 8, Capacity: 1000}, at(10))
+	table.Observe(testDescriptor("a"), 1, Load{Sequence: 8, Capacity: 1000}, at(10))
 	sample := DigestSample{Key: KeyOf("a"), Incarnation: 1, Running: 3, Free: 400, Age: 5 * time.Second}
 	table.ObserveDigest(sample, at(14)) // taken at 9
 	if row := mustLookup(t, table, "a"); row.Load.Running != 0 {
-		t.Error("an older digest was used")
+		t.Error("an older digest was applied")
 	}
 	table.ObserveDigest(sample, at(16)) // taken at 11
 	row := mustLookup(t, table, "a")
@@ -139,31 +138,31 @@
 	}
 	sample.Incarnation = 2
 	if table.ObserveDigest(sample, at(20)) {
-		t.Error("an incarnation that never described itself is known")
+		t.Error("ObserveDigest returned true for an incarnation without a descriptor")
 	}
 }
 
 func TestRowsAreBounded(t *testing.T) {
 	table := NewTable(TableOptions{MaxRows: 2})
 	for i := range 3 {
-		ok := table.Observe(described(fmt.Sprint(i)), 1, Load{Sequence: 1}, at(0))
+		ok := table.Observe(testDescriptor(fmt.Sprint(i)), 1, Load{Sequence: 1}, at(0))
 		if ok != (i < 2) {
-			t.Errorf("row %d taken: %v", i, ok)
+			t.Errorf("row %d accepted: %v", i, ok)
 		}
 	}
 }
 
-func TestSampleHasNoRepetitionAndTheAlso(t *testing.T) {
+func TestSampleIsDistinctAndIncludesAlso(t *testing.T) {
 	table := NewTable(TableOptions{})
 	for i := range 100 {
-		table.Observe(described(fmt.Sprint(i)), 1, Load{Sequence: 1}, at(0))
+		table.Observe(testDescriptor(fmt.Sprint(i)), 1, Load{Sequence: 1}, at(0))
 	}
 	rnd := rand.New(rand.NewPCG(1, 2))
 	rows := table.Sample("p", 10, []uint64{KeyOf("42")}, rnd, nil)
 	seen := map[string]bool{}
 	for _, row := range rows {
 		if seen[row.Name] {
-			t.Errorf("%s twice", row.Name)
+			t.Errorf("%s was drawn twice", row.Name)
 		}
 		seen[row.Name] = true
 	}
@@ -175,7 +174,7 @@
 func TestLeastLoadedIsSorted(t *testing.T) {
 	table := NewTable(TableOptions{})
 	for i, prefill := range []int64{50, 10, 40, 20, 30} {
-		table.Observe(described(fmt.Sprint(i)), 1, Load{Sequence: 1, PrefillShort: prefill}, at(0))
+		table.Observe(testDescriptor(fmt.Sprint(i)), 1, Load{Sequence: 1, PrefillShort: prefill}, at(0))
 	}
 	var got []int64
 	for _, row := range table.LeastLoaded("p", 3, nil) {
@@ -186,19 +185,20 @@
 	}
 }
 
-// Symptom: a server seems busy for ever, or the race detector reports.
-// Sequence: reports, dispatches and decisions of many requests at one time.
-// Cause: counts that are read or changed outside the table's mutex.
+// Guards against counts that are read or changed without the mutex of the
+// table, which leave a server looking busy forever or fail under the race
+// detector. Reports, dispatches and placements of many requests run
+// concurrently.
 func TestConcurrentUse(t *testing.T) {
 	table := NewTable(TableOptions{})
-	table.Observe(described("a"), 1, Load{Sequence: 1}, at(0))
+	table.Observe(testDescriptor("a"), 1, Load{Sequence: 1}, at(0))
 	var wg sync.WaitGroup
 	for g := range 4 {
 		rnd := rand.New(rand.NewPCG(4, uint64(g)))
 		wg.Go(func() {
 			for i := range 200 {
 				d := table.BeginDispatch("a", DispatchLoad{Prefill: 10, Tokens: 10}, at(1))
-				table.Observe(described(fmt.Sprint(g, i)), 1, Load{Sequence: 1}, at(0))
+				table.Observe(testDescriptor(fmt.Sprint(g, i)), 1, Load{Sequence: 1}, at(0))
 				table.Sample("p", 16, nil, rnd, nil)
 				table.ObserveResponse("a", Load{Sequence: uint64(i), Incarnation: 1}, at(0))
 				table.EndDispatch(d)
@@ -208,17 +208,16 @@
 	wg.Wait()
 	row := mustLookup(t, table, "a")
 	if row.UnreportedRequests != 0 || row.UnreportedPrefill != 0 || row.UnreportedTokens != 0 || row.Load.Sequence != 199 {
-		t.Errorf("row after all is done: %+v", row)
+		t.Errorf("row after all dispatches have ended: %+v", row)
 	}
 	if n := table.Len(); n != 801 {
 		t.Errorf("%d rows, want 801", n)
 	}
 }
 
-// Any order of reports, digests, marks and sweeps leaves each row's incarnation
-// and sequence where they were or further on, and each pool's rows in the order
-// of their keys.
-func TestRowsNeverGoBack(t *testing.T) {
+// No order of reports, digests, marks and sweeps moves the incarnation or the
+// sequence of a row backward.
+func TestRowsAreMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable(TableOptions{})
 		last := map[string]Row{}
@@ -226,7 +225,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 5).Draw(t, "pause")) * time.Second)
 			name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
-			step(t, table, name, now)
+			randomStep(t, table, name, now)
 			for _, n := range []string{"a", "b", "c"} {
 				row, ok := table.Lookup(n)
 				before, had := last[n]
@@ -244,11 +243,11 @@
 	})
 }
 
-func step(t *rapid.T, table *Table, name string, now time.Time) {
+func randomStep(t *rapid.T, table *Table, name string, now time.Time) {
 	incarnation := rapid.Uint64Range(1, 3).Draw(t, "incarnation")
 	load := Load{Sequence: rapid.Uint64Range(0, 9).Draw(t, "sequence"), Incarnation: incarnation}
 	age := time.Duration(rapid.IntRange(0, 9).Draw(t, "age")) * time.Second
-	d := described(name)
+	d := testDescriptor(name)
 	d.Pool = rapid.SampledFrom([]string{"p", "q"}).Draw(t, "pool")
 	switch rapid.IntRange(0, 6).Draw(t, "kind") {
 	case 0:
