--- a/engine/body.go
+++ b/engine/body.go
@@ -10,27 +10,28 @@
 	"github.com/juju/errors"
 )
 
-// Fields of the body that only the system may set. A caller's own are dropped.
+// Fields of the request body that only this package may set. Values that a
+// caller sends are dropped.
 const (
-	fieldPriority   = "priority"
-	fieldResumeFrom = "resume_from"
-	fieldPriorText  = "prior_text"
-	fieldGroup      = "kv_group"
-	fieldStream     = "stream"
-	fieldOptions    = "stream_options"
-	fieldModel      = "model"
+	fieldPriority      = "priority"
+	fieldResumeFrom    = "resume_from"
+	fieldPriorText     = "prior_text"
+	fieldKVGroup       = "kv_group"
+	fieldStream        = "stream"
+	fieldStreamOptions = "stream_options"
+	fieldModel         = "model"
 )
 
-// KVGroupMember is a segment that another engine exported.
+// KVGroupMember refers to a segment that another engine exported.
 type KVGroupMember struct {
-	Address string `json:"address"` // ip:port of the engine that holds it
+	Address string `json:"address"` // ip:port of the engine that holds the segment
 	Handle  string `json:"handle"`
 	Tokens  int64  `json:"tokens"`
 }
 
-// rewrite sets the system's fields in the caller's JSON object. It returns the
-// new body in parts, so that a prompt of megabytes is not copied.
-func rewrite(run *RunRequest) ([][]byte, error) {
+// buildBody sets the system fields in the caller's JSON object. It returns the
+// new body in parts, so that a prompt of several megabytes is not copied.
+func buildBody(run *RunRequest) ([][]byte, error) {
 	object := bytes.TrimSpace(run.Body)
 	if len(object) < len("{}") || object[0] != '{' || object[len(object)-1] != '}' {
 		return nil, errors.Annotate(ErrBadBody, "not an object")
@@ -38,41 +39,42 @@
 	if !run.BodyValidated && !json.Valid(object) {
 		return nil, errors.Annotate(ErrBadBody, "malformed")
 	}
-	if mayHide(object) {
+	if mayContainReserved(object) {
 		return replaceFields(run, object)
 	}
 	return appendFields(run, object)
 }
 
-// reserved are the fields that must not reach the engine from a caller; the
-// others that the system sets are always set.
-var reserved = [][]byte{[]byte(fieldResumeFrom), []byte(fieldPriorText), []byte(fieldGroup)}
+// reservedFields must not reach the engine from a caller. The other system
+// fields need no such check, because they are always set.
+var reservedFields = [][]byte{[]byte(fieldResumeFrom), []byte(fieldPriorText), []byte(fieldKVGroup)}
 
-// letterEscapes begin the escapes of the letters and the underscore that
-// reserved names consist of.
+// letterEscapes are the prefixes of the JSON escapes for the letters and the
+// underscore of which reserved names consist.
 var letterEscapes = [][]byte{[]byte(`\u005`), []byte(`\u006`), []byte(`\u007`)}
 
-// mayHide reports whether a body may hold a reserved field, plain or escaped. It
-// is true of a prompt that speaks of one too, which only costs time.
-func mayHide(object []byte) bool {
+// mayContainReserved reports whether a body may contain a reserved field, plain
+// or escaped. A prompt that merely mentions one is a false positive, which only
+// costs time.
+func mayContainReserved(object []byte) bool {
 	in := func(part []byte) bool { return bytes.Contains(object, part) }
-	return slices.ContainsFunc(reserved, in) || slices.ContainsFunc(letterEscapes, in)
+	return slices.ContainsFunc(reservedFields, in) || slices.ContainsFunc(letterEscapes, in)
 }
 
-// appendFields puts the system's fields at the end of the object, where they
-// prevail over the caller's of the same name: the last of two holds. This reads
-// no byte of the prompt but to look for reserved names.
+// appendFields appends the system fields to the object, where they override the
+// caller's fields of the same name, because the last duplicate wins. The prompt
+// is scanned only for reserved names.
 func appendFields(run *RunRequest, object []byte) ([][]byte, error) {
-	own, err := run.fields()
+	system, err := run.systemFields()
 	if err != nil {
 		return nil, err
 	}
 	head := bytes.TrimRight(object[:len(object)-1], " \t\r\n")
-	tail := make([]byte, 0, tailBytes)
+	tail := make([]byte, 0, appendedBytes)
 	if len(head) > len("{") {
 		tail = append(tail, ',')
 	}
-	for i, f := range own {
+	for i, f := range system {
 		if i > 0 {
 			tail = append(tail, ',')
 		}
@@ -81,41 +83,42 @@
 	return [][]byte{head, append(tail, '}')}, nil
 }
 
-// replaceFields decodes the object's fields, drops the reserved ones and sets
-// the system's own.
+// replaceFields decodes the fields of the object, drops the reserved ones and
+// sets the system fields.
 func replaceFields(run *RunRequest, object []byte) ([][]byte, error) {
 	fields := map[string]json.RawMessage{}
 	if err := json.Unmarshal(object, &fields); err != nil {
 		return nil, errors.WithType(err, ErrBadBody)
 	}
-	for _, name := range reserved {
+	for _, name := range reservedFields {
 		delete(fields, string(name))
 	}
-	own, err := run.fields()
+	system, err := run.systemFields()
 	if err != nil {
 		return nil, err
 	}
-	for _, f := range own {
+	for _, f := range system {
 		fields[f.name] = f.value
 	}
-	return joinFields(fields), nil
+	return encodeFields(fields), nil
 }
 
-// tailBytes is room for the system's fields, but for the group and prior text.
-const tailBytes = 160
+// appendedBytes is the initial capacity, in bytes, for the appended system
+// fields, not counting the KV group and the prior text.
+const appendedBytes = 160
 
-// field is a field of the body that the system sets.
+// field is a system field of the body.
 type field struct {
 	name  string
 	value json.RawMessage
 }
 
-// fields returns what the system sets.
-func (r *RunRequest) fields() ([]field, error) {
+// systemFields returns the fields that this package sets in the body.
+func (r *RunRequest) systemFields() ([]field, error) {
 	out := make([]field, 0, 7)
 	out = append(out,
 		field{fieldStream, json.RawMessage("true")},
-		field{fieldOptions, json.RawMessage(`{"include_usage":true}`)},
+		field{fieldStreamOptions, json.RawMessage(`{"include_usage":true}`)},
 		field{fieldPriority, strconv.AppendInt(nil, int64(r.Priority), 10)})
 	set := func(name string, value any) error {
 		data, err := json.Marshal(value)
@@ -134,19 +137,20 @@
 		}
 	}
 	if len(r.KVGroup) > 0 {
-		if err := set(fieldGroup, r.KVGroup); err != nil {
+		if err := set(fieldKVGroup, r.KVGroup); err != nil {
 			return nil, err
 		}
 	}
 	return out, nil
 }
 
-// joinFields writes the object in parts: names in order, values in place.
-func joinFields(fields map[string]json.RawMessage) [][]byte {
+// encodeFields returns the encoded object in parts, sorted by name. The values
+// are not copied.
+func encodeFields(fields map[string]json.RawMessage) [][]byte {
 	var parts [][]byte
 	lead := "{"
 	for _, name := range slices.Sorted(maps.Keys(fields)) {
-		quoted, _ := json.Marshal(name) // a string always marshals
+		quoted, _ := json.Marshal(name) // marshaling a string never fails
 		parts = append(parts, []byte(lead), quoted, []byte(":"), fields[name])
 		lead = ","
 	}
--- a/engine/client.go
+++ b/engine/client.go
@@ -1,16 +1,19 @@
-// Package engine is the HTTP client of a model engine (the API in
-// docs/design/0001-whole-path.md) and of a plain service.
+// Package engine is an HTTP client for model engines (the API in
+// docs/design/0001-whole-path.md) and for plain services.
 //
-// Rules:
-//   - ErrNotRun is said only if it is certain. Bytes handed to the connection
-//     are counted, and one byte is enough for ErrBroken.
-//   - A request is sent at most once. net/http by itself sends a request again
-//     that carries an Idempotency-Key header and no body; the client's bodies
-//     are made so that it can't. The client itself sends again only on a fresh
-//     connection after no byte was written to a stale one.
-//   - No redirect is followed and no proxy is taken from the environment.
-//   - What an engine sends is bounded: a line, an error body, a JSON answer.
-//   - A Stream belongs to one goroutine; Close may be called from any.
+// It guarantees the following:
+//   - ErrNotRun is returned only if it is certain. The bytes written to the
+//     connection are counted, and a single byte leads to ErrBroken.
+//   - A request is sent at most once. By default, net/http resends a request
+//     that has an Idempotency-Key header and no body; the bodies of this client
+//     can't be rewound, which prevents that. The client itself resends a request
+//     only on a new connection, if no byte was written to a stale one.
+//   - Redirects are not followed, and proxy settings of the environment are
+//     ignored.
+//   - The size of what an engine sends is limited: of a line, an error body and
+//     a JSON response.
+//   - A Stream may be used by one goroutine only, except for Close, which any
+//     goroutine may call.
 package engine
 
 import (
@@ -31,20 +34,22 @@
 	DefaultCallTimeout  = 5 * time.Second
 )
 
-// idleTimeout ends unused connections to the engine.
+// idleTimeout is the time after which an idle connection to the engine is
+// closed.
 const idleTimeout = 60 * time.Second
 
-// Config says how to reach one engine or service.
+// Config configures the client of one engine or service. Zero fields are set to
+// the defaults.
 type Config struct {
 	Address      string        // ip:port
-	MaxIdleConns int           // idle connections kept
-	DialTimeout  time.Duration // for a TCP connection
-	CallTimeout  time.Duration // for calls beside runs, segments, orders and long polls
-	MaxLineBytes int           // bytes in one line of a stream
+	MaxIdleConns int           // maximum number of idle connections
+	DialTimeout  time.Duration // for opening a TCP connection
+	CallTimeout  time.Duration // for all calls except runs, service calls, segment prefills, orders and long polls
+	MaxLineBytes int           // maximum length of one line of a stream
 	Metrics      metrics.Registry
 }
 
-// Client talks to one engine or service. It is safe for concurrent use.
+// Client is a client of one engine or service. It is safe for concurrent use.
 type Client struct {
 	cfg       Config
 	http      *http.Client
@@ -56,7 +61,7 @@
 	runs, notRun, status, broken, malformed, resent, abandoned metrics.Counter
 }
 
-// New makes a client; it does not connect yet.
+// New returns a client. It does not open a connection.
 func New(cfg Config) *Client {
 	cfg = cfg.withDefaults()
 	c := &Client{cfg: cfg, counters: newCounters(cfg.Metrics)}
@@ -98,8 +103,8 @@
 		broken: get("broken"), malformed: get("malformed"), resent: get("resent"), abandoned: get("abandoned")}
 }
 
-// Address returns the engine's ip:port.
+// Address returns the ip:port of the engine.
 func (c *Client) Address() string { return c.cfg.Address }
 
-// Close drops the idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -18,8 +18,9 @@
 	"github.com/briarturn/briarturn/request"
 )
 
-// against serves a handler and returns a client of it with its metrics.
-func against(t testing.TB, h http.HandlerFunc) (*engine.Client, metrics.Registry) {
+// newTestClient serves the handler and returns a client for it and the registry
+// of its metrics.
+func newTestClient(t testing.TB, h http.HandlerFunc) (*engine.Client, metrics.Registry) {
 	t.Helper()
 	srv := httptest.NewServer(h)
 	t.Cleanup(srv.Close)
@@ -29,15 +30,15 @@
 	return c, r
 }
 
-func chat(body string) *engine.RunRequest {
+func chatRequest(body string) *engine.RunRequest {
 	return &engine.RunRequest{Kind: request.KindChat, RequestID: "r", Body: []byte(body)}
 }
 
-const hello = `{"model":"briar","max_tokens":8,"messages":[{"role":"user","content":"hello"}]}`
+const chatBody = `{"model":"briar","max_tokens":8,"messages":[{"role":"user","content":"hello"}]}`
 
-// end runs a chat to its end and returns the error.
-func end(t *testing.T, c *engine.Client) error {
-	st, err := c.Run(t.Context(), chat(hello))
+// runToEnd runs a chat to its end and returns the final error.
+func runToEnd(t *testing.T, c *engine.Client) error {
+	st, err := c.Run(t.Context(), chatRequest(chatBody))
 	if err != nil {
 		return err
 	}
@@ -49,10 +50,10 @@
 	}
 }
 
-// Symptom: a caller gets half an answer as whole, or an agent's memory fills.
-// Sequence: an engine breaks off, or sends what no engine should. Cause: its
-// output is taken on trust.
-func TestBadOutputOfAnEngine(t *testing.T) {
+// Guards against a truncated response that is passed on as complete, and
+// against engine output that fills the memory of an agent: an engine breaks
+// off, or sends output that violates the API or exceeds the limits.
+func TestMalformedEngineOutput(t *testing.T) {
 	const ok = "data: {\"choices\":[{}]}\n\n"
 	for _, c := range []struct {
 		name, kind, out string
@@ -66,11 +67,11 @@
 		{"no [DONE]", "text/event-stream", ok, engine.ErrBroken, "engine.broken"},
 		{"whole", "text/event-stream; charset=utf-8", ok + "data: [DONE]\n\n", io.EOF, ""},
 	} {
-		client, r := against(t, func(w http.ResponseWriter, _ *http.Request) {
+		client, r := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", c.kind)
 			_, _ = io.WriteString(w, c.out)
 		})
-		if err := end(t, client); !errors.Is(err, c.want) {
+		if err := runToEnd(t, client); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v", c.name, err)
 		}
 		for _, name := range []string{"engine.malformed", "engine.broken"} {
@@ -85,7 +86,7 @@
 	}
 }
 
-func TestStatusOfAnEngine(t *testing.T) {
+func TestErrorStatus(t *testing.T) {
 	for _, c := range []struct {
 		status int
 		body   string
@@ -97,12 +98,12 @@
 		{500, `{"error":{"code":"not_run"}}`, false},
 		{302, ``, false},
 	} {
-		client, _ := against(t, func(w http.ResponseWriter, r *http.Request) {
+		client, _ := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Location", "/v1/chat/completions")
 			w.WriteHeader(c.status)
 			_, _ = io.WriteString(w, c.body)
 		})
-		err := end(t, client)
+		err := runToEnd(t, client)
 		e, ok := errors.AsType[*engine.StatusError](err)
 		if !ok || e.Status != c.status || errors.Is(err, engine.ErrNotRun) != c.notRun {
 			t.Errorf("%d %s: %v", c.status, c.body, err)
@@ -111,46 +112,45 @@
 }
 
 func TestErrorInsideStream(t *testing.T) {
-	client, _ := against(t, func(w http.ResponseWriter, _ *http.Request) {
+	client, _ := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		_, _ = io.WriteString(w, "data: {\"error\":{\"code\":\"out_of_memory\"}}\n\n")
 	})
-	err := end(t, client)
+	err := runToEnd(t, client)
 	if e, ok := errors.AsType[*engine.StatusError](err); !ok || e.Code != "out_of_memory" {
 		t.Error(err)
 	}
 }
 
-// Symptom: a caller decodes over another's segment, or jumps the queue.
-// Sequence: its JSON body sets fields that only the system may set.
-// Cause: the body is passed on as it came.
-func TestBodyBelongsToTheSystem(t *testing.T) {
+// Guards against a caller that decodes with the segment of another request or
+// raises its own priority, because its JSON body sets fields that only the
+// client may set.
+func TestReservedFieldsAreReplaced(t *testing.T) {
 	var got map[string]any
-	client, _ := against(t, func(w http.ResponseWriter, r *http.Request) {
+	client, _ := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		_ = json.NewDecoder(r.Body).Decode(&got)
 	})
 	body := `{"stream":false,"priority":-99,"kv_group":[{"handle":"1-1"}],"resume_from":3,"prior_text":"x",
 		"stream_options":{"include_usage":false},"stream":false,"temperature":0.5}`
-	_, _ = client.Run(t.Context(), chat(body))
+	_, _ = client.Run(t.Context(), chatRequest(body))
 	want := map[string]any{"stream": true, "priority": 0.0, "temperature": 0.5,
 		"stream_options": map[string]any{"include_usage": true}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
 	for _, bad := range []string{"", "{", "[]", "null", `{"a":1}{"b":2}`} {
-		if _, err := client.Run(t.Context(), chat(bad)); !errors.Is(err, engine.ErrBadBody) {
+		if _, err := client.Run(t.Context(), chatRequest(bad)); !errors.Is(err, engine.ErrBadBody) {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
 }
 
-// Symptom: as above, for the bodies that are not taken apart, or by a name in
-// escapes.
-// Sequence: fields of the caller's stand before those that are appended.
-// Cause: two fields of one name, or a reserved name that isn't recognized.
-func TestAppendedFieldsPrevail(t *testing.T) {
+// As TestReservedFieldsAreReplaced, for bodies that are not decoded, and for names written with
+// escapes: the caller's fields stand before the appended ones, so there may be
+// two fields of one name, or a reserved name that is not recognized.
+func TestAppendedFieldsOverrideCaller(t *testing.T) {
 	var got map[string]any
-	client, _ := against(t, func(w http.ResponseWriter, r *http.Request) {
+	client, _ := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		got = nil
 		_ = json.NewDecoder(r.Body).Decode(&got)
 	})
@@ -163,7 +163,7 @@
 		`{"messages":[{"content":"what is kv_group } ?"}]}`: `{"messages":[{"content":"what is kv_group } ?"}],` + own + `}`,
 	} {
 		for _, checked := range []bool{false, true} {
-			run := chat(body)
+			run := chatRequest(body)
 			run.BodyValidated = checked
 			_, _ = client.Run(t.Context(), run)
 			var wanted map[string]any
@@ -182,20 +182,20 @@
 	address := srv.Listener.Addr().String()
 	srv.Close()
 	c := engine.New(engine.Config{Address: address})
-	if err := end(t, c); !errors.Is(err, engine.ErrNotRun) || errors.Is(err, engine.ErrBroken) {
+	if err := runToEnd(t, c); !errors.Is(err, engine.ErrNotRun) || errors.Is(err, engine.ErrBroken) {
 		t.Error(err)
 	}
-	if !strings.Contains(fmt.Sprint(end(t, c)), "step run, peer "+address) {
-		t.Error("the error names neither step nor peer")
+	if !strings.Contains(fmt.Sprint(runToEnd(t, c)), "step run, peer "+address) {
+		t.Error("the error does not name the step and the peer")
 	}
 }
 
-// Symptom: each caller that hangs up counts as a fault of the engine.
-// Sequence: the run is on, its context ends. Cause: an ended context and a
-// broken connection look alike in net/http.
-func TestAbandonedRunIsNoFault(t *testing.T) {
+// Guards against counting a run whose caller disconnected as a fault of the
+// engine. The context ends during the run; net/http reports an ended context
+// and a broken connection alike.
+func TestCanceledRunIsNotCountedAsBroken(t *testing.T) {
 	arrived := make(chan struct{})
-	client, r := against(t, func(w http.ResponseWriter, r *http.Request) {
+	client, r := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		close(arrived)
 		<-r.Context().Done()
@@ -205,7 +205,7 @@
 		<-arrived
 		cancel()
 	}()
-	_, err := client.Run(ctx, chat(hello))
+	_, err := client.Run(ctx, chatRequest(chatBody))
 	if !errors.Is(err, engine.ErrBroken) || !errors.Is(err, context.Canceled) || errors.Is(err, engine.ErrNotRun) {
 		t.Error(err)
 	}
@@ -214,8 +214,8 @@
 	}
 }
 
-func TestCutServiceAnswerIsBroken(t *testing.T) {
-	client, _ := against(t, func(w http.ResponseWriter, _ *http.Request) {
+func TestTruncatedServiceResponseIsBroken(t *testing.T) {
+	client, _ := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
 		_, _ = io.WriteString(w, "half")
 	})
@@ -230,7 +230,7 @@
 }
 
 func TestNegativeLoadIsMalformed(t *testing.T) {
-	client, _ := against(t, func(w http.ResponseWriter, _ *http.Request) {
+	client, _ := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, `{"used_tokens":-5}`)
 	})
 	if _, err := client.Load(t.Context()); !errors.Is(err, engine.ErrMalformed) {
@@ -239,7 +239,7 @@
 }
 
 func BenchmarkRunMillionTokens(b *testing.B) {
-	client, _ := against(b, func(w http.ResponseWriter, r *http.Request) {
+	client, _ := newTestClient(b, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.Header().Set("Content-Type", "text/event-stream")
 		_, _ = io.WriteString(w, "data: [DONE]\n\n")
@@ -248,7 +248,7 @@
 	b.SetBytes(int64(len(body)))
 	b.ReportAllocs()
 	for b.Loop() {
-		run := chat(body)
+		run := chatRequest(body)
 		run.BodyValidated = true // as agents set it
 		st, err := client.Run(b.Context(), run)
 		if err != nil {
--- a/engine/errors.go
+++ b/engine/errors.go
@@ -6,17 +6,17 @@
 	"github.com/juju/errors"
 )
 
-// Errors of a run. Test with errors.Is.
+// Errors of a run; test for them with errors.Is.
 const (
-	// ErrNotRun means that the engine certainly did not run it: no byte of the
-	// request left this process, or the engine refused with code not_run.
+	// ErrNotRun means that the engine certainly did not run the request: no byte
+	// of it left this process, or the engine rejected it with code not_run.
 	ErrNotRun = errors.ConstError("engine did not run it")
-	// ErrBroken means that the connection broke after something was sent: the
-	// engine may have run it. If the caller's context ended, errors.Is also finds
-	// context.Canceled or context.DeadlineExceeded.
+	// ErrBroken means that the connection broke after part of the request was
+	// sent: the engine may have run it. If the caller's context ended, errors.Is
+	// also matches context.Canceled or context.DeadlineExceeded.
 	ErrBroken = errors.ConstError("connection to engine broke")
-	// ErrMalformed means that the engine's output is not what the API says, or
-	// exceeds a bound.
+	// ErrMalformed means that the output of the engine violates the API or exceeds
+	// a limit.
 	ErrMalformed = errors.ConstError("engine output is malformed")
 	// ErrBadBody means that the caller's body is not a JSON object; nothing was
 	// sent.
@@ -25,18 +25,18 @@
 	ErrStaleFence = errors.ConstError("fencing number is stale")
 )
 
-// Codes in an engine's error bodies.
+// Error codes in the error bodies of an engine.
 const (
 	codeNotRun     = "not_run"
 	codeStaleFence = "stale_fence"
 )
 
-// StatusError is an answer of the engine with an error status, or an error
-// object inside a stream (Status is then 200).
+// StatusError is a response with an error status, or an error object inside a
+// stream, in which case Status is 200.
 type StatusError struct {
 	Status  int
 	Code    string
-	Excerpt string // beginning of the body
+	Excerpt string // start of the body
 }
 
 // Error implements error.
--- a/engine/idle_test.go
+++ b/engine/idle_test.go
@@ -9,16 +9,16 @@
 	"testing"
 )
 
-// Guards against a broken call whose line doesn't tell a connection that was taken from
-// the pool, and may have been closed in that moment, from a new one.
-func TestBrokenCallTellsOfItsConnection(t *testing.T) {
+// Guards against the error of a broken call that does not distinguish a pooled
+// connection, which the server may have closed at that moment, from a new one.
+func TestBrokenCallErrorDescribesConnection(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	calls := 0
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // an error ends the call too
+		_, _ = io.Copy(io.Discard, r.Body) // a read error ends the call as well
 		if calls++; calls == 2 {
 			panic(http.ErrAbortHandler)
 		}
@@ -44,6 +44,6 @@
 	}
 	err = call()
 	if err == nil || !strings.Contains(err.Error(), "connection used before true, idle for ") {
-		t.Errorf("the error says %v", err)
+		t.Errorf("unexpected error: %v", err)
 	}
 }
--- a/engine/prefix.go
+++ b/engine/prefix.go
@@ -6,13 +6,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PrefixBlockBytes is the length of prompt text in one block of the prefix
-// cache, 256 tokens.
+// PrefixBlockBytes is the size in bytes of the prompt text in one block of the
+// prefix cache, which is 256 tokens.
 const PrefixBlockBytes = 1024
 
-// AppendPrefixHashes appends the rolling hashes of the whole blocks of a prompt, at
-// most max of them: hash i covers the text up to the end of block i. Cache
-// events name blocks by these hashes.
+// AppendPrefixHashes appends the rolling hashes of the complete blocks of a
+// prompt, at most max of them. Hash i covers the text up to the end of block i.
+// Cache events identify blocks by these hashes.
 func AppendPrefixHashes(dst []uint64, prompt string, max int) []uint64 {
 	var previous uint64
 	d := xxhash.New()
--- a/engine/probe.go
+++ b/engine/probe.go
@@ -7,30 +7,30 @@
 	"github.com/juju/errors"
 )
 
-// Liveness is what a probe found.
+// Liveness is the result of a probe.
 type Liveness uint8
 
-// Findings of a probe.
+// Results of a probe.
 const (
-	// LivenessUnknown: no answer in time. The engine hangs, is paused or unreachable,
-	// and may still run what it was given.
+	// LivenessUnknown: there was no valid response in time. The engine hangs, is
+	// paused or is unreachable, and may still run its requests.
 	LivenessUnknown Liveness = iota
-	// LivenessLive: it answers, and is the same life of it as before.
+	// LivenessLive: the engine responds and is not known to have restarted.
 	LivenessLive
-	// LivenessDied: the connection is refused, or it came back with another boot. What
-	// it ran is lost.
+	// LivenessDied: the engine refuses the connection, or has restarted with
+	// another boot ID. Its requests are lost.
 	LivenessDied
 )
 
-// Probe tells an engine that died from one that lives, for the case that a
-// stream broke. Boot is that of an earlier Load, empty if not known.
-func (c *Client) Probe(ctx context.Context, boot string) Liveness {
-	// Idle connections of an earlier life would answer with an error that looks
-	// like a fault of the network.
+// Probe determines, after a stream broke, whether the engine died. bootID is
+// that of an earlier Load, empty if unknown.
+func (c *Client) Probe(ctx context.Context, bootID string) Liveness {
+	// Idle connections to an engine that has restarted since would fail with an
+	// error that looks like a network fault.
 	c.transport.CloseIdleConnections()
 	l, err := c.Load(ctx)
 	if err == nil {
-		return livenessOf(l, boot)
+		return livenessOf(l, bootID)
 	}
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return LivenessDied
@@ -38,8 +38,8 @@
 	return LivenessUnknown
 }
 
-func livenessOf(l *Load, boot string) Liveness {
-	if boot != "" && l.BootID != "" && l.BootID != boot {
+func livenessOf(l *Load, bootID string) Liveness {
+	if bootID != "" && l.BootID != "" && l.BootID != bootID {
 		return LivenessDied
 	}
 	return LivenessLive
--- a/engine/run.go
+++ b/engine/run.go
@@ -14,31 +14,31 @@
 	"github.com/briarturn/briarturn/request"
 )
 
-// maxErrorBody bounds what is read of an error answer, bytes.
-const maxErrorBody = 4 << 10
+// maxErrorBodyBytes is the maximum number of bytes read of an error response.
+const maxErrorBodyBytes = 4 << 10
 
-// maxExcerpt bounds what a StatusError carries of it.
-const maxExcerpt = 512
+// maxExcerptBytes is the maximum length of the excerpt in a StatusError.
+const maxExcerptBytes = 512
 
 // RunRequest is one attempt at a chat or completion. The client sets stream,
 // stream_options, priority, resume_from, prior_text and kv_group in the body.
 type RunRequest struct {
 	Kind          request.Kind // KindChat or KindCompletion
-	RequestID     string       // the engine's name for the run
-	Model         string       // as the engine names it; empty leaves the body's
-	Body          []byte       // the caller's JSON object; not changed
-	BodyValidated bool         // Body is known to be valid JSON: it isn't read again
-	Priority      int32        // lower is sooner
-	ResumeFrom    uint64       // chunks that the caller already has
-	PriorText     []byte       // their text
+	RequestID     string       // id of the run at the engine
+	Model         string       // name of the model at the engine; empty keeps the model of the body
+	Body          []byte       // the caller's JSON object; not modified
+	BodyValidated bool         // Body is known to be valid JSON and is not validated again
+	Priority      int32        // lower values run sooner
+	ResumeFrom    uint64       // number of chunks that the caller already has
+	PriorText     []byte       // text of those chunks
 	KVGroup       []KVGroupMember
 }
 
-// Run sends the request and returns when the head of the answer is there.
-// Errors: ErrBadBody and ErrNotRun (it did not run), *StatusError, ErrMalformed,
-// ErrBroken (it may have run).
+// Run sends the request and returns when the response header has arrived.
+// Errors: ErrBadBody and ErrNotRun (the request did not run), *StatusError,
+// ErrMalformed and ErrBroken (it may have run).
 func (c *Client) Run(ctx context.Context, run *RunRequest) (*Stream, error) {
-	parts, err := rewrite(run)
+	parts, err := buildBody(run)
 	if err != nil {
 		return nil, c.annotate(err, "body")
 	}
@@ -50,7 +50,7 @@
 	header.Set("X-Request-Id", run.RequestID)
 	c.counters.runs.Inc(1)
 	begin := time.Now()
-	resp, err := c.send(ctx, &message{step: "run", method: http.MethodPost, path: path, header: header, body: parts})
+	resp, err := c.send(ctx, &outgoing{step: "run", method: http.MethodPost, path: path, header: header, body: parts})
 	if err != nil {
 		return nil, err
 	}
@@ -59,16 +59,17 @@
 	}
 	if kind, _, _ := mime.ParseMediaType(resp.Header.Get("Content-Type")); kind != "text/event-stream" {
 		_ = resp.Body.Close()
-		return nil, c.malformed(errors.Errorf("content type %q", kind), "run")
+		return nil, c.malformedError(errors.Errorf("content type %q", kind), "run")
 	}
 	return &Stream{client: c, body: resp.Body, sse: newSSEReader(resp.Body, c.cfg.MaxLineBytes),
 		firstByte: time.Since(begin)}, nil
 }
 
-// statusError reads and closes an answer with an error status.
+// statusError converts a response with an error status to an error and closes
+// its body.
 func (c *Client) statusError(resp *http.Response, step string) error {
 	defer func() { _ = resp.Body.Close() }()
-	data, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
+	data, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodyBytes))
 	e := &StatusError{Status: resp.StatusCode, Code: errorCode(data), Excerpt: excerpt(data)}
 	if e.Status == http.StatusServiceUnavailable && e.Code == codeNotRun {
 		c.counters.notRun.Inc(1)
@@ -81,7 +82,8 @@
 	return c.annotate(e, step)
 }
 
-// errorCode finds the code of an error body, at the top or under "error".
+// errorCode returns the code of an error body, from its top level or from its
+// "error" object.
 func errorCode(data []byte) string {
 	var body struct {
 		Code  string `json:"code"`
@@ -99,11 +101,11 @@
 }
 
 func excerpt(data []byte) string {
-	data = data[:min(len(data), maxExcerpt)]
+	data = data[:min(len(data), maxExcerptBytes)]
 	return string(bytes.ToValidUTF8(data, []byte("?")))
 }
 
-func (c *Client) malformed(err error, step string) error {
+func (c *Client) malformedError(err error, step string) error {
 	c.counters.malformed.Inc(1)
 	return c.annotate(errors.WithType(err, ErrMalformed), step)
 }
--- a/engine/send.go
+++ b/engine/send.go
@@ -13,9 +13,9 @@
 	"github.com/juju/errors"
 )
 
-// countedConn counts the bytes that the kernel took. A write is counted in full
-// before it is made and corrected after it, so that a byte on its way is never
-// taken for none.
+// countedConn counts the bytes that the kernel accepted. A write is counted in
+// full before it starts and corrected afterwards, so that a byte in flight is
+// never missed.
 type countedConn struct {
 	net.Conn
 	written atomic.Int64
@@ -29,55 +29,57 @@
 	return n, err
 }
 
-// sent watches the connection of one request.
-type sent struct {
-	conn   *countedConn
-	before int64
-	reused bool
-	idle   time.Duration // since its last request or, if it had none, its opening
+// connState tracks the connection of one request.
+type connState struct {
+	conn          *countedConn
+	writtenBefore int64
+	reused        bool
+	idleTime      time.Duration // since its last request, or since it was opened
 }
 
-func (s *sent) trace() *httptrace.ClientTrace {
+func (s *connState) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		s.conn, _ = info.Conn.(*countedConn)
 		s.reused = info.Reused
-		s.idle = info.IdleTime
+		s.idleTime = info.IdleTime
 		if s.conn != nil {
-			s.before = s.conn.written.Load()
+			s.writtenBefore = s.conn.written.Load()
 		}
 	}}
 }
 
-// nothing reports whether no byte of the request can have left. It closes the
-// connection first: a write that starts after the count was read must fail.
-func (s *sent) nothing() bool {
+// nothingSent reports whether certainly no byte of the request was sent. It
+// closes the connection first, so that a write that starts after the count was
+// read fails.
+func (s *connState) nothingSent() bool {
 	if s.conn == nil {
 		return true
 	}
 	_ = s.conn.Close()
-	return s.conn.written.Load() == s.before
+	return s.conn.written.Load() == s.writtenBefore
 }
 
-// oneShot is a body that net/http can't rewind. Without it, net/http replays a
-// request with an Idempotency-Key header whose connection broke, and a
-// non-idempotent call runs twice: seen as two runs under one key in the service.
-type oneShot struct{ io.Reader }
+// nonRewindableBody is a body that net/http cannot rewind. Otherwise net/http
+// would resend a request that has an Idempotency-Key header after its
+// connection broke, and a non-idempotent call would run twice: the service
+// would see two runs with one key.
+type nonRewindableBody struct{ io.Reader }
 
 // Close implements io.Closer.
-func (oneShot) Close() error { return nil }
+func (nonRewindableBody) Close() error { return nil }
 
-// message is one HTTP request to the engine.
-type message struct {
+// outgoing is one HTTP request to the engine.
+type outgoing struct {
 	step   string
 	method string
 	path   string
 	header http.Header
 	body   [][]byte  // sent in order
-	stream io.Reader // instead of body; can't be sent again
-	length int64     // of stream, -1 if unknown
+	stream io.Reader // instead of body; cannot be resent
+	length int64     // length of stream in bytes, -1 if unknown
 }
 
-func (m *message) reader() (io.Reader, int64) {
+func (m *outgoing) bodyReader() (io.Reader, int64) {
 	if m.stream != nil {
 		return m.stream, m.length
 	}
@@ -90,34 +92,36 @@
 	return io.MultiReader(parts...), length
 }
 
-// send sends a message at most once and returns the answer's head. After a
-// stale connection that took no byte, it tries once more on a fresh one.
-func (c *Client) send(ctx context.Context, m *message) (*http.Response, error) {
-	resp, state, err := c.attempt(ctx, m)
+// send sends a request at most once and returns the response, with its header
+// read. If a reused connection turns out to be stale and no byte was written to
+// it, the request is sent once more on a new connection.
+func (c *Client) send(ctx context.Context, m *outgoing) (*http.Response, error) {
+	resp, state, err := c.roundTrip(ctx, m)
 	if err == nil {
 		return resp, nil
 	}
-	nothing := state.nothing()
-	if nothing && state.reused && m.stream == nil && ctx.Err() == nil {
+	unsent := state.nothingSent()
+	if unsent && state.reused && m.stream == nil && ctx.Err() == nil {
 		c.counters.resent.Inc(1)
 		c.transport.CloseIdleConnections()
-		resp, state, err = c.attempt(ctx, m)
+		resp, state, err = c.roundTrip(ctx, m)
 		if err == nil {
 			return resp, nil
 		}
-		nothing = state.nothing()
+		unsent = state.nothingSent()
 	}
-	if nothing {
+	if unsent {
 		c.counters.notRun.Inc(1)
 		return nil, c.annotate(errors.WithType(err, ErrNotRun), m.step)
 	}
-	err = errors.Annotatef(err, "connection used before %t, idle for %v", state.reused, state.idle)
-	return nil, c.broke(err, m.step)
+	err = errors.Annotatef(err, "connection used before %t, idle for %v", state.reused, state.idleTime)
+	return nil, c.brokenError(err, m.step)
 }
 
-// broke types and counts an error after something was sent. A caller that ended
-// its context is counted apart: that is no fault of the engine.
-func (c *Client) broke(err error, step string) error {
+// brokenError wraps and counts an error that occurred after part of the request
+// was sent. It is counted separately if the caller's context ended, because
+// that is no fault of the engine.
+func (c *Client) brokenError(err error, step string) error {
 	if errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
 		c.counters.abandoned.Inc(1)
 	} else {
@@ -126,11 +130,11 @@
 	return c.annotate(errors.WithType(err, ErrBroken), step)
 }
 
-func (c *Client) attempt(ctx context.Context, m *message) (*http.Response, *sent, error) {
-	state := &sent{}
-	body, length := m.reader()
+func (c *Client) roundTrip(ctx context.Context, m *outgoing) (*http.Response, *connState, error) {
+	state := &connState{}
+	body, length := m.bodyReader()
 	traced := httptrace.WithClientTrace(ctx, state.trace())
-	req, err := http.NewRequestWithContext(traced, m.method, "http://"+c.cfg.Address+m.path, oneShot{body})
+	req, err := http.NewRequestWithContext(traced, m.method, "http://"+c.cfg.Address+m.path, nonRewindableBody{body})
 	if err != nil {
 		return nil, state, err
 	}
--- a/engine/send_test.go
+++ b/engine/send_test.go
@@ -14,24 +14,25 @@
 	"github.com/juju/errors"
 )
 
-// brokenConn takes some bytes after it was broken, then none.
+// brokenConn accepts acceptBytes bytes of each write after it was broken, and
+// fails the rest.
 type brokenConn struct {
 	net.Conn
-	broken *atomic.Bool
-	takes  int
+	broken      *atomic.Bool
+	acceptBytes int
 }
 
 func (c *brokenConn) Write(p []byte) (int, error) {
 	if !c.broken.Load() {
 		return c.Conn.Write(p)
 	}
-	n, _ := c.Conn.Write(p[:min(c.takes, len(p))])
+	n, _ := c.Conn.Write(p[:min(c.acceptBytes, len(p))])
 	return n, syscall.EPIPE
 }
 
-// breakFirst makes a client that has made one call, whose connection is kept and
-// broken since.
-func breakFirst(t *testing.T, takes int) (c *Client, calls *atomic.Int64) {
+// newClientWithBrokenConn returns a client that has made one call and whose
+// idle connection has been broken since.
+func newClientWithBrokenConn(t *testing.T, acceptBytes int) (c *Client, calls *atomic.Int64) {
 	t.Helper()
 	calls = &atomic.Int64{}
 	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -46,7 +47,7 @@
 	c.transport.DialContext = func(_ context.Context, network, address string) (net.Conn, error) {
 		conn, err := net.Dial(network, address)
 		if first && err == nil {
-			conn = &brokenConn{Conn: conn, broken: broken, takes: takes}
+			conn = &brokenConn{Conn: conn, broken: broken, acceptBytes: acceptBytes}
 		}
 		first = false
 		return &countedConn{Conn: conn}, err
@@ -68,11 +69,12 @@
 	return resp.Body.Close()
 }
 
-// Symptom: after an engine restarts, as many requests fail as there were idle
-// connections. Sequence: a run leaves a connection, the engine restarts, the
-// next run takes it. Cause: no byte could be sent, and yet nobody tries again.
+// Guards against failed requests after a restart of the engine, one for each
+// idle connection. A run leaves an idle connection, the engine restarts, and
+// the next run uses that connection: no byte can be sent, so the request must
+// be sent again on a new connection.
 func TestStaleConnectionIsReplaced(t *testing.T) {
-	c, calls := breakFirst(t, 0)
+	c, calls := newClientWithBrokenConn(t, 0)
 	if err := post(c, t.Context(), &ServiceRequest{}); err != nil {
 		t.Error(err)
 	}
@@ -81,21 +83,22 @@
 	}
 }
 
-// Symptom: a call whose body was read is sent again without it. Sequence: the
-// connection takes no byte, the body was read into a buffer. Cause: a stream
-// can't be rewound; the caller has to decide.
+// Guards against a call that is resent without its body. The connection accepts
+// no byte, but the body was already read into a buffer. A stream cannot be
+// rewound, so the caller has to decide.
 func TestStreamedBodyIsNotSentAgain(t *testing.T) {
-	c, calls := breakFirst(t, 0)
+	c, calls := newClientWithBrokenConn(t, 0)
 	err := post(c, t.Context(), &ServiceRequest{Body: strings.NewReader("x"), ContentLength: 1})
 	if !errors.Is(err, ErrNotRun) || calls.Load() != 1 {
 		t.Errorf("%v after %d calls", err, calls.Load())
 	}
 }
 
-// Symptom: "not run" is said of a call that ran. Sequence: the connection breaks
-// after it took a byte. Cause: a broken write is taken for none.
-func TestOneByteSentIsUnknown(t *testing.T) {
-	c, _ := breakFirst(t, 1)
+// Guards against "not run" for a call that may have run: the connection breaks
+// after it accepted one byte, and the failed write must not count as nothing
+// sent.
+func TestPartialWriteIsBroken(t *testing.T) {
+	c, _ := newClientWithBrokenConn(t, 1)
 	err := post(c, t.Context(), &ServiceRequest{})
 	if !errors.Is(err, ErrBroken) || errors.Is(err, ErrNotRun) {
 		t.Error(err)
--- a/engine/sse.go
+++ b/engine/sse.go
@@ -8,11 +8,11 @@
 	"github.com/juju/errors"
 )
 
-// sseBuffer is the read buffer of one stream, bytes.
-const sseBuffer = 2048
+// sseBufferBytes is the size of the read buffer of one stream.
+const sseBufferBytes = 2048
 
-// sseReader reads the data of server-sent events. Other fields and comments are
-// skipped. A line, and the data of one event, are at most max bytes.
+// sseReader reads the data of server-sent events and skips other fields and
+// comments. A line, and the data of one event, may have at most max bytes.
 type sseReader struct {
 	r    *bufio.Reader
 	max  int
@@ -21,16 +21,17 @@
 }
 
 func newSSEReader(r io.Reader, max int) *sseReader {
-	return &sseReader{r: bufio.NewReaderSize(r, sseBuffer), max: max}
+	return &sseReader{r: bufio.NewReaderSize(r, sseBufferBytes), max: max}
 }
 
 var (
-	dataField = []byte("data:")
-	space     = []byte(" ")
+	dataPrefix = []byte("data:")
+	space      = []byte(" ")
 )
 
-// next returns the data of the next event that has any. The slice is valid until
-// the next call. It ends with io.EOF between events, io.ErrUnexpectedEOF inside.
+// next returns the data of the next event that has any. The slice is valid
+// until the next call. At the end of the input it returns io.EOF between events
+// and io.ErrUnexpectedEOF inside one.
 func (s *sseReader) next() ([]byte, error) {
 	s.data = s.data[:0]
 	found := false
@@ -48,28 +49,28 @@
 			}
 			continue
 		}
-		if !bytes.HasPrefix(line, dataField) {
+		if !bytes.HasPrefix(line, dataPrefix) {
 			continue
 		}
-		if err := s.add(bytes.TrimPrefix(line[len(dataField):], space), found); err != nil {
+		if err := s.appendData(bytes.TrimPrefix(line[len(dataPrefix):], space), found); err != nil {
 			return nil, err
 		}
 		found = true
 	}
 }
 
-func (s *sseReader) add(value []byte, further bool) error {
+func (s *sseReader) appendData(value []byte, notFirst bool) error {
 	if len(s.data)+len(value)+1 > s.max {
 		return errors.Annotatef(ErrMalformed, "event over %d bytes", s.max)
 	}
-	if further {
+	if notFirst {
 		s.data = append(s.data, '\n')
 	}
 	s.data = append(s.data, value...)
 	return nil
 }
 
-// readLine returns a line without its end (LF or CRLF).
+// readLine returns a line without its line ending (LF or CRLF).
 func (s *sseReader) readLine() ([]byte, error) {
 	s.line = s.line[:0]
 	for {
@@ -78,11 +79,11 @@
 			return nil, errors.Annotatef(ErrMalformed, "line over %d bytes", s.max)
 		}
 		if err == nil && len(s.line) == 0 {
-			return trimEnd(part), nil
+			return trimLineEnd(part), nil
 		}
 		s.line = append(s.line, part...)
 		if err == nil {
-			return trimEnd(s.line), nil
+			return trimLineEnd(s.line), nil
 		}
 		if err != bufio.ErrBufferFull {
 			return s.line, err
@@ -90,6 +91,6 @@
 	}
 }
 
-func trimEnd(line []byte) []byte {
+func trimLineEnd(line []byte) []byte {
 	return bytes.TrimSuffix(bytes.TrimSuffix(line, []byte("\n")), []byte("\r"))
 }
--- a/engine/sse_test.go
+++ b/engine/sse_test.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// FuzzSSE: events must not depend on how the bytes arrive, nor exceed the bound.
+// FuzzSSE checks that the events do not depend on how the bytes arrive, and
+// that no event exceeds the limit.
 func FuzzSSE(f *testing.F) {
 	f.Add([]byte("data: {\"a\":1}\n\ndata: [DONE]\n\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
@@ -63,7 +64,7 @@
 		}
 		for _, e := range whole {
 			if len(e) > bound {
-				t.Errorf("event of %d bytes", len(e))
+				t.Errorf("event of %d bytes exceeds the limit", len(e))
 			}
 		}
 	})
--- a/engine/stream.go
+++ b/engine/stream.go
@@ -10,24 +10,26 @@
 	"github.com/juju/errors"
 )
 
-// drainTimeout bounds the wait for the end of a body after its last event.
+// drainTimeout is the maximum wait for the end of a body after its last event.
 const drainTimeout = 100 * time.Millisecond
 
-// Usage is what the engine counted, in tokens.
+// Usage is the number of tokens that the engine counted.
 type Usage struct {
 	Prompt int64
 	Output int64
 	Cached int64
 }
 
-// Chunk is one data payload of the stream. Data is valid until the next call.
+// Chunk is one data payload of the stream. Data is valid until the next call of
+// Next.
 type Chunk struct {
 	Data   []byte
-	Tokens int // estimate: 1 if the chunk has choices, else 0; Usage has the sum
+	Tokens int // estimate: 1 if the chunk has choices, otherwise 0; Usage has the totals
 }
 
-// Stream is the answer of a run. Close it on every path: closing an unfinished
-// stream makes the engine stop and free its memory.
+// Stream is the response of a run. The caller must close it on every path:
+// closing an unfinished stream makes the engine stop the run and free its
+// memory.
 type Stream struct {
 	client    *Client
 	body      io.ReadCloser
@@ -38,34 +40,35 @@
 }
 
 var (
-	doneData    = []byte("[DONE]")
+	doneMarker  = []byte("[DONE]")
 	usageField  = []byte(`"usage":{`)
 	errorField  = []byte(`{"error"`)
 	noChoices   = []byte(`"choices":[]`)
 	choiceField = []byte(`"choices":[`)
 )
 
-// Next returns the next chunk, or io.EOF after the engine said that the answer
-// is whole. Any other end is an error, and stays the result of further calls.
+// Next returns the next chunk, or io.EOF after the engine has marked the
+// response as complete. Any other end is an error. Further calls return the
+// same result.
 func (s *Stream) Next() (Chunk, error) {
 	if s.err != nil {
 		return Chunk{}, s.err
 	}
 	data, err := s.sse.next()
 	if err != nil {
-		return s.fail(s.broken(err))
+		return s.terminate(s.readError(err))
 	}
-	if bytes.Equal(data, doneData) {
+	if bytes.Equal(data, doneMarker) {
 		s.drain()
-		return s.fail(io.EOF)
+		return s.terminate(io.EOF)
 	}
 	if !json.Valid(data) || data[0] != '{' {
-		return s.fail(s.client.malformed(errors.Errorf("chunk is not an object: %q", excerpt(data)), "stream"))
+		return s.terminate(s.client.malformedError(errors.Errorf("chunk is not an object: %q", excerpt(data)), "stream"))
 	}
 	if bytes.HasPrefix(data, errorField) {
 		s.client.counters.status.Inc(1)
 		e := &StatusError{Status: http.StatusOK, Code: errorCode(data), Excerpt: excerpt(data)}
-		return s.fail(s.client.annotate(e, "stream"))
+		return s.terminate(s.client.annotate(e, "stream"))
 	}
 	if bytes.Contains(data, usageField) {
 		s.readUsage(data)
@@ -73,12 +76,13 @@
 	return Chunk{Data: data, Tokens: estimateTokens(data)}, nil
 }
 
-// drain reads to the end of the body, without which net/http drops the
-// connection. An engine that leaves it open must not hold up the answer.
+// drain reads up to the end of the body; otherwise net/http would close the
+// connection instead of reusing it. The wait is limited, so that an engine that
+// leaves the body open does not delay the response.
 func (s *Stream) drain() {
 	timer := time.AfterFunc(drainTimeout, func() { _ = s.body.Close() })
 	defer timer.Stop()
-	_, _ = io.CopyN(io.Discard, s.body, maxErrorBody)
+	_, _ = io.CopyN(io.Discard, s.body, maxErrorBodyBytes)
 }
 
 func estimateTokens(data []byte) int {
@@ -88,21 +92,21 @@
 	return 0
 }
 
-func (s *Stream) fail(err error) (Chunk, error) {
+func (s *Stream) terminate(err error) (Chunk, error) {
 	s.err = err
 	return Chunk{}, err
 }
 
-// broken types an error of the connection. An end without [DONE] is one: the
-// answer would be cut short and look whole.
-func (s *Stream) broken(err error) error {
+// readError wraps an error of the connection. An end without [DONE] is one too:
+// otherwise a truncated response would look complete.
+func (s *Stream) readError(err error) error {
 	if errors.Is(err, ErrMalformed) {
-		return s.client.malformed(err, "stream")
+		return s.client.malformedError(err, "stream")
 	}
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
-	return s.client.broke(err, "stream")
+	return s.client.brokenError(err, "stream")
 }
 
 func (s *Stream) readUsage(data []byte) {
@@ -120,10 +124,11 @@
 	}
 }
 
-// Usage returns the engine's counts; zero until the last chunk was read.
+// Usage returns the token counts of the engine; they are zero until the chunk
+// with the usage, the last one, was read.
 func (s *Stream) Usage() Usage { return s.usage }
 
-// FirstByte returns the time from sending to the head of the answer.
+// FirstByte returns the time from sending the request to the response header.
 func (s *Stream) FirstByte() time.Duration { return s.firstByte }
 
 // Close ends the stream. After io.EOF the connection is kept for another run.
