--- a/agent/config.go
+++ b/agent/config.go
@@ -35,7 +35,7 @@
 	AwaitDrainPropagation func(ctx context.Context)
 	// Fences admits or refuses orders by their lease. Without it every order is
 	// refused.
-	Fences *lease.Gate
+	Fences *lease.FenceChecker
 	// ChecksFencing, if given, says whether the engine itself refuses an order with an old
 	// fencing number, also after a restart of its own. An order whose floor
 	// Fences can't learn is then left to the engine's check; else it is refused.
--- a/agent/failure_test.go
+++ b/agent/failure_test.go
@@ -183,7 +183,7 @@
 		cfg := testConfig(e)
 		store := standinobjectapi.NewMemory(standinobjectapi.Config{})
 		putLease(t, store, 0, 0)
-		cfg.Fences = lease.NewGate(store)
+		cfg.Fences = lease.NewFenceChecker(store)
 		a := startAgent(t, cfg)
 		if out := order(t, a, 8, actionLoad); !out.Done || out.HighestFence != 8 {
 			t.Fatal(out)
@@ -195,13 +195,13 @@
 			t.Fatalf("%v", d.Models)
 		}
 		putLease(t, store, 1, 8)
-		cfg.Fences = lease.NewGate(store)
+		cfg.Fences = lease.NewFenceChecker(store)
 		restarted := startAgent(t, cfg)
 		if out := order(t, restarted, 7, actionUnload); out.Code != wirepb.RefuseCode_REFUSE_STALE_FENCE {
 			t.Fatal(out)
 		}
 		store.SetFaults(standinobjectapi.Faults{Down: true})
-		cfg.Fences = lease.NewGate(store)
+		cfg.Fences = lease.NewFenceChecker(store)
 		blind := startAgent(t, cfg)
 		if out := order(t, blind, 9, actionUnload); out.Done || out.Code != wirepb.RefuseCode_REFUSE_BUSY {
 			t.Fatal(out)
@@ -224,7 +224,7 @@
 		cfg := testConfig(e)
 		cfg.ChecksFencing = func() bool { return true }
 		store := standinobjectapi.NewMemory(standinobjectapi.Config{})
-		cfg.Fences = lease.NewGate(store)
+		cfg.Fences = lease.NewFenceChecker(store)
 		a := startAgent(t, cfg)
 		if out := order(t, a, 9, actionLoad); out.Done {
 			t.Fatalf("carried out under a lease that isn't on record: %v", out)
--- a/agent/order.go
+++ b/agent/order.go
@@ -152,7 +152,7 @@
 		out.Code = wirepb.RefuseCode_REFUSE_ENGINE_DOWN
 	}
 	if a.cfg.Fences != nil {
-		out.HighestFence = a.cfg.Fences.Highest(name)
+		out.HighestFence = a.cfg.Fences.HighestFence(name)
 	}
 	return out
 }
--- a/agent/order_test.go
+++ b/agent/order_test.go
@@ -53,7 +53,7 @@
 	store := standinobjectapi.NewMemory(standinobjectapi.Config{})
 	putLease(t, store, 0, 0)
 	cfg := testConfig(e)
-	cfg.Fences = lease.NewGate(store)
+	cfg.Fences = lease.NewFenceChecker(store)
 	return startAgent(t, cfg)
 }
 
--- a/declared/backendserverset.go
+++ b/declared/backendserverset.go
@@ -23,8 +23,8 @@
 // pool or replicas of a plain service. It lists them or gives a template.
 type BackendServerSet struct {
 	// Pool names the ModelPool, or the plain service.
-	Pool    string `json:"pool" validate:"required,name"`
-	Service bool   `json:"service"` // a plain service, not engines
+	Pool         string `json:"pool" validate:"required,name"`
+	PlainService bool   `json:"service"` // a plain service, not engines
 	// ChecksFencing says that the servers refuse an order with an old fencing
 	// number. Where they don't, the agent alone is the fence.
 	ChecksFencing bool            `json:"checks_fencing"`
@@ -44,10 +44,10 @@
 // over the set's zones in turn. In Name and Address, {index} and {zone} are
 // replaced.
 type ServerTemplate struct {
-	Name    string `json:"name" validate:"required,max=128"`
-	Address string `json:"address" validate:"required,max=128"`
-	First   int    `json:"first" validate:"min=0,max=1000000"`
-	Count   int    `json:"count" validate:"min=1,max=20000"`
+	Name       string `json:"name" validate:"required,max=128"`
+	Address    string `json:"address" validate:"required,max=128"`
+	FirstIndex int    `json:"first" validate:"min=0,max=1000000"`
+	Count      int    `json:"count" validate:"min=1,max=20000"`
 }
 
 func (s *BackendServerSet) pool(string) string { return s.Pool }
@@ -65,7 +65,7 @@
 }
 
 func (t *ServerTemplate) member(i int, zone string) BackendServer {
-	fill := strings.NewReplacer(placeholderIndex, strconv.Itoa(t.First+i), placeholderZone, zone)
+	fill := strings.NewReplacer(placeholderIndex, strconv.Itoa(t.FirstIndex+i), placeholderZone, zone)
 	return BackendServer{Name: fill.Replace(t.Name), Zone: zone, Address: fill.Replace(t.Address)}
 }
 
--- a/declared/catalog.go
+++ b/declared/catalog.go
@@ -18,9 +18,9 @@
 type Config struct {
 	// Kinds that this process holds; all by default. An agent's scope is less.
 	Kinds []string
-	// ConfirmWithin is how old the store's last word may be for the state to
+	// MaxConfirmationAge is how old the store's last word may be for the state to
 	// count as confirmed.
-	ConfirmWithin time.Duration
+	MaxConfirmationAge time.Duration
 	// UnconfirmedPeers and UnconfirmedAfter let an empty process become ready
 	// without any confirmation; see Freshness. Off while UnconfirmedPeers is 0.
 	UnconfirmedPeers int
@@ -53,7 +53,7 @@
 	if len(c.Kinds) == 0 {
 		c.Kinds = Kinds()
 	}
-	c.ConfirmWithin = cmp.Or(max(c.ConfirmWithin, 0), DefaultConfirmWithin)
+	c.MaxConfirmationAge = cmp.Or(max(c.MaxConfirmationAge, 0), DefaultMaxConfirmationAge)
 	c.MaxTombstones = cmp.Or(max(c.MaxTombstones, 0), DefaultMaxTombstones)
 	if c.Now == nil {
 		c.Now = time.Now
@@ -83,7 +83,7 @@
 func (c *Catalog) Revision() uint64 { return c.State().Revision() }
 
 // Apply takes one object, as a write's answer or a peer gives it.
-func (c *Catalog) Apply(o objectapi.Object) Result {
+func (c *Catalog) Apply(o objectapi.Object) ApplyResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.change(func(e *edit) { e.apply(o) })
@@ -135,7 +135,7 @@
 }
 
 // ApplyBatch takes what a peer answered to a pull.
-func (c *Catalog) ApplyBatch(peer string, b Batch) Result {
+func (c *Catalog) ApplyBatch(peer string, b Batch) ApplyResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.change(func(e *edit) { e.take(b) })
@@ -161,7 +161,7 @@
 
 // change builds the next state, and publishes it unless nothing came of it.
 // The caller holds c.mu.
-func (c *Catalog) change(build func(*edit)) Result {
+func (c *Catalog) change(build func(*edit)) ApplyResult {
 	old := c.State()
 	e := newEdit(old)
 	build(e)
--- a/declared/catalog_test.go
+++ b/declared/catalog_test.go
@@ -145,14 +145,14 @@
 	}
 
 	early := NewCatalog(Config{Now: clk.Now})
-	if f := pull(early); f != (Freshness{Ready: true, By: ReadyByPeer, Revision: 5}) {
+	if f := pull(early); f != (Freshness{Ready: true, ReadyBy: ReadyByPeer, Revision: 5}) {
 		t.Fatalf("by a confirmed peer: %+v", f)
 	}
 	if b := early.Since(0, Scope{}); b.StoreConfirmed {
 		t.Fatal("a confirmation was passed on")
 	}
 
-	clk.now = clk.now.Add(DefaultConfirmWithin + time.Nanosecond)
+	clk.now = clk.now.Add(DefaultMaxConfirmationAge + time.Nanosecond)
 	late := NewCatalog(Config{Now: clk.Now})
 	if f := pull(late); f != (Freshness{Revision: 5}) {
 		t.Fatalf("by a peer that lost the store: %+v", f)
@@ -161,7 +161,7 @@
 		t.Fatalf("the peer itself: %+v", f)
 	}
 	listAll(late, 6)
-	if f := late.Freshness(); f != (Freshness{Ready: true, By: ReadyByStore, Confirmed: true, Revision: 6}) {
+	if f := late.Freshness(); f != (Freshness{Ready: true, ReadyBy: ReadyByStore, Confirmed: true, Revision: 6}) {
 		t.Fatalf("by the store: %+v", f)
 	}
 }
@@ -180,7 +180,7 @@
 		t.Fatal("ready by one peer that spoke twice")
 	}
 	c.ApplyBatch("two", b)
-	if f := c.Freshness(); f.By != ReadyByUnconfirmedPeers || f.Confirmed {
+	if f := c.Freshness(); f.ReadyBy != ReadyByUnconfirmedPeers || f.Confirmed {
 		t.Fatalf("by two peers: %+v", f)
 	}
 }
--- a/declared/edit.go
+++ b/declared/edit.go
@@ -23,8 +23,8 @@
 		"nothing that is at or under the revision up to which a kind was complete changes it any more")
 )
 
-// Result says what became of objects that a Catalog was given.
-type Result struct {
+// ApplyResult says what became of objects that a Catalog was given.
+type ApplyResult struct {
 	Applied int       // newer than what was known
 	Stale   int       // no newer than what was known
 	Refused []Refusal // newer, and bad
@@ -38,7 +38,7 @@
 	old    *State
 	next   *State
 	own    map[string]bool // kinds whose records are no longer shared with old
-	result Result
+	result ApplyResult
 }
 
 func newEdit(old *State) *edit {
--- a/declared/example_test.go
+++ b/declared/example_test.go
@@ -27,6 +27,6 @@
 	peer := declared.NewCatalog(declared.Config{})
 	peer.ApplyBatch("entry-1", entry.Since(peer.Revision(), declared.Scope{}))
 	p, version := peer.State().WorkspacePolicy("confirmations")
-	fmt.Println(p.Weight, version, peer.Freshness().By)
+	fmt.Println(p.Weight, version, peer.Freshness().ReadyBy)
 	// Output: 6 7 confirmed_peer
 }
--- a/declared/file.go
+++ b/declared/file.go
@@ -22,9 +22,9 @@
 	Spec json.RawMessage `json:"spec" validate:"required"`
 }
 
-// Decoded is a manifest with its validated value. Data is the value as the
+// DecodedObject is a manifest with its validated value. Data is the value as the
 // store keeps it.
-type Decoded struct {
+type DecodedObject struct {
 	Kind string
 	Name string
 	Data json.RawMessage
@@ -32,25 +32,25 @@
 }
 
 // DecodeFile reads the objects of a file; see DecodeAll.
-func DecodeFile(path string) ([]Decoded, error) {
+func DecodeFile(path string) ([]DecodedObject, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, errors.Annotate(err, "step read objects")
 	}
 	defer func() { _ = f.Close() }()
-	objects, err := DecodeAll(f)
+	objects, err := DecodeManifests(f)
 	return objects, errors.Annotatef(err, "step read objects of %s", path)
 }
 
-// DecodeAll reads JSON values one after the other, each a manifest or a list
+// DecodeManifests reads JSON values one after the other, each a manifest or a list
 // of manifests, and validates all. The error lists the faults of all objects
 // (config.FaultsOf), each path beginning with the number of the object from 0.
-func DecodeAll(r io.Reader) ([]Decoded, error) {
+func DecodeManifests(r io.Reader) ([]DecodedObject, error) {
 	raws, err := splitManifests(io.LimitReader(r, maxFileBytes))
 	if err != nil {
 		return nil, err
 	}
-	var out []Decoded
+	var out []DecodedObject
 	var faults config.Faults
 	seen := map[objectKey]int{}
 	for i, raw := range raws {
@@ -102,21 +102,21 @@
 	}
 }
 
-func decodeManifest(raw json.RawMessage) (Decoded, error) {
+func decodeManifest(raw json.RawMessage) (DecodedObject, error) {
 	var m Manifest
 	if err := config.Decode(raw, &m); err != nil {
-		return Decoded{}, err
+		return DecodedObject{}, err
 	}
 	spec, err := Decode(m.Kind, m.Spec)
 	if found := config.FaultsOf(err); found != nil {
-		return Decoded{}, found.Under("spec")
+		return DecodedObject{}, found.Under("spec")
 	}
 	if err != nil {
-		return Decoded{}, err
+		return DecodedObject{}, err
 	}
 	var data bytes.Buffer
 	if err := json.Compact(&data, m.Spec); err != nil {
-		return Decoded{}, errors.Trace(err)
+		return DecodedObject{}, errors.Trace(err)
 	}
-	return Decoded{Kind: m.Kind, Name: m.Name, Data: data.Bytes(), Spec: spec}, nil
+	return DecodedObject{Kind: m.Kind, Name: m.Name, Data: data.Bytes(), Spec: spec}, nil
 }
--- a/declared/file_test.go
+++ b/declared/file_test.go
@@ -13,7 +13,7 @@
 	const file = `{"kind":"WorkspacePolicy","name":"a","spec":{}}
 		[{"kind":"WorkspacePolicy","name":"b","spec":{"weight":3}},
 		 {"kind":"ServiceLevel","name":"a-short","spec":{"workspace":"a","class":"1k-4k","ttft":"1s","objective":0.99}}]`
-	got, err := DecodeAll(strings.NewReader(file))
+	got, err := DecodeManifests(strings.NewReader(file))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,8 +24,8 @@
 	if d := cmp.Diff([]string{"WorkspacePolicy/a", "WorkspacePolicy/b", "ServiceLevel/a-short"}, names); d != "" {
 		t.Fatal(d)
 	}
-	if level := got[2].Spec.(*ServiceLevel); len(level.Windows) != len(defaultWindows()) {
-		t.Fatalf("windows %v", level.Windows)
+	if level := got[2].Spec.(*ServiceLevel); len(level.AlertRules) != len(defaultWindows()) {
+		t.Fatalf("windows %v", level.AlertRules)
 	}
 }
 
@@ -47,7 +47,7 @@
 		{"kind":"WorkspacePolicy","name":"g","spec":{}},
 		{"kind":"WorkspacePolicy","name":"g","spec":{}}
 	]`
-	_, err := DecodeAll(strings.NewReader(file))
+	_, err := DecodeManifests(strings.NewReader(file))
 	var got []string
 	for _, f := range config.FaultsOf(err) {
 		got = append(got, f.Path)
@@ -68,7 +68,7 @@
 
 func TestDecodeAllOfBrokenFiles(t *testing.T) {
 	for _, file := range []string{`{`, `[{]`, `[1]`, `"text"`, `{"kind":"ModelPool","name":"p"}`} {
-		if got, err := DecodeAll(strings.NewReader(file)); config.FaultsOf(err) == nil {
+		if got, err := DecodeManifests(strings.NewReader(file)); config.FaultsOf(err) == nil {
 			t.Errorf("%s: %v, error %v", file, got, err)
 		}
 	}
@@ -81,7 +81,7 @@
 		`{"max_timeout":"1m","service_classes":[{"name":"batch","timeout":"60s"}]}`:    "",
 		`{"default_timeout":"2m","service_classes":[{"name":"batch","timeout":"1h"}]}`: "",
 	} {
-		_, err := DecodeAll(strings.NewReader(`[{"kind":"WorkspacePolicy","name":"w","spec":` + spec + `}]`))
+		_, err := DecodeManifests(strings.NewReader(`[{"kind":"WorkspacePolicy","name":"w","spec":` + spec + `}]`))
 		got := ""
 		for _, f := range config.FaultsOf(err) {
 			got += f.Path
--- a/declared/freshness.go
+++ b/declared/freshness.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// DefaultConfirmWithin covers one watch of the store that waits in full
+// DefaultMaxConfirmationAge covers one watch of the store that waits in full
 // (objectapi.DefaultWatchWait), the time limit of its call and the pause before
 // it, 5.5 s together.
-const DefaultConfirmWithin = 8 * time.Second
+const DefaultMaxConfirmationAge = 8 * time.Second
 
 // maxPeersCounted bounds the peers remembered until the process is ready.
 const maxPeersCounted = 64
@@ -38,25 +38,25 @@
 // of, until it hears of them itself.
 type Freshness struct {
 	Ready     bool
-	By        ReadyBy
+	ReadyBy   ReadySource
 	Confirmed bool // the store's last word is within ConfirmWithin
 	Revision  uint64
 }
 
-// ReadyBy says what made a process ready.
-type ReadyBy string
+// ReadySource says what made a process ready.
+type ReadySource string
 
 // Ways to become ready.
 const (
-	ReadyByStore            ReadyBy = "store"
-	ReadyByPeer             ReadyBy = "confirmed_peer"
-	ReadyByUnconfirmedPeers ReadyBy = "unconfirmed_peers"
+	ReadyByStore            ReadySource = "store"
+	ReadyByPeer             ReadySource = "confirmed_peer"
+	ReadyByUnconfirmedPeers ReadySource = "unconfirmed_peers"
 )
 
 type freshness struct {
 	config  Config
 	started time.Time
-	by      ReadyBy              // empty until ready
+	by      ReadySource          // empty until ready
 	said    map[string]time.Time // by kind, when the store last spoke of it
 	peers   map[string]struct{}  // that gave their complete state
 }
@@ -96,7 +96,7 @@
 func (f *freshness) storeConfirmed(now time.Time) bool {
 	for _, kind := range f.config.Kinds {
 		at, ok := f.said[kind]
-		if !ok || now.Sub(at) > f.config.ConfirmWithin {
+		if !ok || now.Sub(at) > f.config.MaxConfirmationAge {
 			return false
 		}
 	}
@@ -119,7 +119,7 @@
 	c.freshness.weigh(now)
 	return Freshness{
 		Ready:     c.freshness.by != "",
-		By:        c.freshness.by,
+		ReadyBy:   c.freshness.by,
 		Confirmed: c.freshness.storeConfirmed(now),
 		Revision:  c.State().Revision(),
 	}
--- a/declared/fuzz_test.go
+++ b/declared/fuzz_test.go
@@ -13,7 +13,7 @@
 	f.Add([]byte(`{"kind":"ServiceLevel","name":"e","spec":{"workspace":"a","class":"1k-4k","ttft":"1s","objective":0.5,"windows":[{"long":"2h","short":"1h","rate":2}]}}`))
 	f.Add([]byte(`{"kind":"ModelPool","name":"f","spec":{"models":[null],"zones":[1,{}],"engine":[]}}`))
 	f.Fuzz(func(t *testing.T, file []byte) {
-		objects, err := DecodeAll(bytes.NewReader(file))
+		objects, err := DecodeManifests(bytes.NewReader(file))
 		if err != nil {
 			return
 		}
--- a/declared/kinds.go
+++ b/declared/kinds.go
@@ -27,11 +27,11 @@
 // newSpec holds, for each kind, a constructor that sets the defaults.
 var newSpec = map[string]func() Spec{
 	KindModelPool: func() Spec {
-		return &ModelPool{LongPrefillShare: DefaultLongPrefillShare, WeightLoads: DefaultWeightLoads}
+		return &ModelPool{LongPrefillShare: DefaultLongPrefillShare, MaxWeightLoads: DefaultMaxWeightLoads}
 	},
 	KindWorkspacePolicy:  func() Spec { return newWorkspacePolicy() },
 	KindBackendServerSet: func() Spec { return &BackendServerSet{} },
-	KindServiceLevel:     func() Spec { return &ServiceLevel{Windows: defaultWindows()} },
+	KindServiceLevel:     func() Spec { return &ServiceLevel{AlertRules: defaultWindows()} },
 }
 
 // Kinds returns all kinds of declared objects.
--- a/declared/modelpool.go
+++ b/declared/modelpool.go
@@ -4,17 +4,17 @@
 const (
 	// DefaultLongPrefillShare: see ModelPool.LongPrefillShare.
 	DefaultLongPrefillShare = 0.5
-	// DefaultWeightLoads is how many loads from the weight store may run at
+	// DefaultMaxWeightLoads is how many loads from the weight store may run at
 	// once for the pool.
-	DefaultWeightLoads = 2
+	DefaultMaxWeightLoads = 2
 )
 
 // ModelPool declares the models that a pool of engines serves. Its name is a
 // model name to callers too, and means the first model.
 type ModelPool struct {
-	Models []Model           `json:"models" validate:"required,min=1,dive" distinct:"Name"`
-	Engine EngineExpectation `json:"engine" validate:"required"`
-	Zones  []string          `json:"zones" validate:"required,min=1,dive,name" distinct:"."`
+	Models []Model        `json:"models" validate:"required,min=1,dive" distinct:"Name"`
+	Engine EngineCapacity `json:"engine" validate:"required"`
+	Zones  []string       `json:"zones" validate:"required,min=1,dive,name" distinct:"."`
 	// RoutingPolicy names a policy of package routing; empty means the one in
 	// the entry's settings.
 	RoutingPolicy string `json:"routing_policy,omitempty" validate:"omitempty,oneof=cost round-robin least-load"`
@@ -23,7 +23,7 @@
 	// together, but always one; and entries keep half of what is left of it, a
 	// quarter of the servers by default, for shorter prompts as far as possible.
 	LongPrefillShare float64 `json:"long_prefill_share" validate:"gte=0,lte=1"`
-	WeightLoads      int     `json:"weight_loads" validate:"min=1,max=1000"`
+	MaxWeightLoads   int     `json:"weight_loads" validate:"min=1,max=1000"`
 }
 
 // Model is one model of a pool.
@@ -52,9 +52,9 @@
 // Total returns the replicas of all roles.
 func (r Replicas) Total() int { return r.Mixed + r.Prefill + r.Decode }
 
-// EngineExpectation is what one engine of the pool is expected to do. It is the
+// EngineCapacity is what one engine of the pool is expected to do. It is the
 // prior of estimates until engines report.
-type EngineExpectation struct {
+type EngineCapacity struct {
 	PrefillRate  int64 `json:"prefill_rate" validate:"min=1"`  // tokens/s
 	DecodeRate   int64 `json:"decode_rate" validate:"min=1"`   // tokens/s, whole batch
 	MemoryTokens int64 `json:"memory_tokens" validate:"min=1"` // KV capacity
--- a/declared/servicelevel.go
+++ b/declared/servicelevel.go
@@ -20,31 +20,31 @@
 	// InterToken is the target of the mean time between tokens; 0 is none.
 	InterToken config.Duration `json:"inter_token,omitempty" validate:"omitempty,min=1ms,max=1m"`
 	Objective  float64         `json:"objective" validate:"gt=0,lt=1"`
-	Windows    []BurnWindow    `json:"windows" validate:"min=1,dive"`
+	AlertRules []AlertRule     `json:"windows" validate:"min=1,dive"`
 }
 
-// BurnWindow raises an alarm when, in both windows, the budget of misses burns
+// AlertRule raises an alarm when, in both windows, the budget of misses burns
 // at Rate times what the objective allows. The short one ends the alarm soon
 // after the burning ends.
-type BurnWindow struct {
-	Long  config.Duration `json:"long" validate:"min=1m,max=720h"`
-	Short config.Duration `json:"short" validate:"min=5s,max=720h"`
-	Rate  float64         `json:"rate" validate:"gt=0"`
+type AlertRule struct {
+	LongWindow    config.Duration `json:"long" validate:"min=1m,max=720h"`
+	ShortWindow   config.Duration `json:"short" validate:"min=5s,max=720h"`
+	BurnThreshold float64         `json:"rate" validate:"gt=0"`
 }
 
 // defaultWindows are the usual pairs of multi-window burn alarms, for a budget
 // counted over thirty days: 2% of it in an hour, 5% in six hours.
-func defaultWindows() []BurnWindow {
-	return []BurnWindow{
-		{Long: config.Duration(time.Hour), Short: config.Duration(5 * time.Minute), Rate: 14.4},
-		{Long: config.Duration(6 * time.Hour), Short: config.Duration(30 * time.Minute), Rate: 6},
+func defaultWindows() []AlertRule {
+	return []AlertRule{
+		{LongWindow: config.Duration(time.Hour), ShortWindow: config.Duration(5 * time.Minute), BurnThreshold: 14.4},
+		{LongWindow: config.Duration(6 * time.Hour), ShortWindow: config.Duration(30 * time.Minute), BurnThreshold: 6},
 	}
 }
 
 func (*ServiceLevel) pool(string) string { return "" }
 
-// LengthClass returns the class by its name; ok is false for an unknown name.
-func LengthClass(name string) (c request.Class, ok bool) {
+// ParseLengthClass returns the class by its name; ok is false for an unknown name.
+func ParseLengthClass(name string) (c request.Class, ok bool) {
 	for c := range request.ClassCount {
 		if c.Name() == name {
 			return c, true
@@ -55,14 +55,14 @@
 
 func init() {
 	config.RegisterTag("length_class", func(f validator.FieldLevel) bool {
-		_, ok := LengthClass(f.Field().String())
+		_, ok := ParseLengthClass(f.Field().String())
 		return ok
 	})
-	config.RegisterStruct(checkBurnWindow, BurnWindow{})
+	config.RegisterStruct(checkBurnWindow, AlertRule{})
 }
 
 func checkBurnWindow(sl validator.StructLevel) {
-	if w := sl.Current().Interface().(BurnWindow); w.Short >= w.Long {
-		config.Report(sl, w.Short, "short", "Short", "must be shorter than long")
+	if w := sl.Current().Interface().(AlertRule); w.ShortWindow >= w.LongWindow {
+		config.Report(sl, w.ShortWindow, "short", "Short", "must be shorter than long")
 	}
 }
--- a/declared/sync_test.go
+++ b/declared/sync_test.go
@@ -72,7 +72,7 @@
 		store := standin.NewMemory(standin.Config{})
 		first, second := NewCatalog(Config{}), NewCatalog(Config{Kinds: []string{KindModelPool}})
 		w := objectapi.NewWatcher(objectapi.WatcherConfig{
-			Store: store, Kinds: append(Kinds(), objectapi.KindVM), Sink: objectapi.Sinks{first, second},
+			Store: store, Kinds: append(Kinds(), objectapi.KindVM), Sink: objectapi.MultiSink{first, second},
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
--- a/declared/tally.go
+++ b/declared/tally.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func (t tally) count(r Result) {
+func (t tally) count(r ApplyResult) {
 	t.applied.Inc(int64(r.Applied))
 	t.stale.Inc(int64(r.Stale))
 	t.refused.Inc(int64(len(r.Refused)))
--- a/examples/doc.go
+++ b/examples/doc.go
@@ -20,12 +20,12 @@
 const settingsSuffix = ".settings.json"
 
 // Objects returns the declared objects of the deployment derwent or atlas.
-func Objects(deployment string) ([]declared.Decoded, error) {
+func Objects(deployment string) ([]declared.DecodedObject, error) {
 	names, err := fs.Glob(files, path.Join(deployment, "*.json"))
 	if err != nil || len(names) == 0 {
 		return nil, errors.NotFoundf("example %q", deployment)
 	}
-	var out []declared.Decoded
+	var out []declared.DecodedObject
 	for _, name := range names {
 		if strings.HasSuffix(name, settingsSuffix) {
 			continue
@@ -39,11 +39,11 @@
 	return out, nil
 }
 
-func decode(name string) ([]declared.Decoded, error) {
+func decode(name string) ([]declared.DecodedObject, error) {
 	f, err := files.Open(name)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = f.Close() }()
-	return declared.DecodeAll(f)
+	return declared.DecodeManifests(f)
 }
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -34,7 +34,7 @@
 	return d
 }
 
-func (d *deployment) add(t *testing.T, o declared.Decoded) {
+func (d *deployment) add(t *testing.T, o declared.DecodedObject) {
 	t.Helper()
 	switch spec := o.Spec.(type) {
 	case *declared.WorkspacePolicy:
--- a/internal/capacity/measure_store.go
+++ b/internal/capacity/measure_store.go
@@ -130,7 +130,7 @@
 func sampleLeases(ctx context.Context, n int) (float64, error) {
 	const term, renew, periods = 600 * time.Millisecond, 200 * time.Millisecond, 6
 	store := standinobjectapi.NewMemory(standinobjectapi.Config{})
-	m := lease.NewManager(lease.Config{Store: store, Holder: "measure", Term: term, Renew: renew})
+	m := lease.NewManager(lease.Config{Store: store, Holder: "measure", Term: term, RenewInterval: renew})
 	held := make([]*lease.Lease, n)
 	errs := make([]error, n)
 	var acquiring sync.WaitGroup
--- a/internal/chaos/deployment.go
+++ b/internal/chaos/deployment.go
@@ -38,7 +38,9 @@
 {"kind":"WorkspacePolicy","name":"contested","spec":{}}
 ]`
 
-func deployment() ([]declared.Decoded, error) { return declared.DecodeAll(strings.NewReader(objects)) }
+func deployment() ([]declared.DecodedObject, error) {
+	return declared.DecodeManifests(strings.NewReader(objects))
+}
 
 func engineConfig(p *declared.ModelPool) standinengine.Config {
 	cfg := standinengine.DefaultConfig()
--- a/internal/ctl/apply.go
+++ b/internal/ctl/apply.go
@@ -73,7 +73,7 @@
 // applyRetrying goes on until the object is what the file says or ctx ends. On
 // a conflict it reads again: the condition of the next write is then the other
 // operator's version, and the changes printed are against that.
-func applyRetrying(ctx context.Context, s objectapi.Store, m *declared.Decoded, dry bool) (applied, error) {
+func applyRetrying(ctx context.Context, s objectapi.Store, m *declared.DecodedObject, dry bool) (applied, error) {
 	wait := backoff.NewExponentialBackOff()
 	wait.InitialInterval = applyBackoffInitial
 	wait.MaxInterval = applyBackoffMax
@@ -86,7 +86,7 @@
 	}, backoff.WithBackOff(wait), backoff.WithMaxElapsedTime(0))
 }
 
-func applyOnce(ctx context.Context, s objectapi.Store, m *declared.Decoded, dry bool) (applied, error) {
+func applyOnce(ctx context.Context, s objectapi.Store, m *declared.DecodedObject, dry bool) (applied, error) {
 	out := applied{Kind: m.Kind, Name: m.Name, Action: actionChanged}
 	now, err := s.Get(ctx, m.Kind, m.Name)
 	if errors.Is(err, objectapi.ErrNotFound) {
@@ -105,10 +105,10 @@
 	if dry || out.Action == actionUnchanged {
 		return out, nil
 	}
-	write := objectapi.Write{Kind: m.Kind, Name: m.Name, Data: m.Data, Version: now.Version}
+	write := objectapi.ConditionalWrite{Kind: m.Kind, Name: m.Name, Data: m.Data, Version: now.Version}
 	// Any object with the value of the file is as good as ours, whoever wrote
 	// it: the value itself is the mark.
-	o, err := objectapi.SettleWrite(ctx, s, write, func(o objectapi.Object) bool {
+	o, err := objectapi.WriteAndVerify(ctx, s, write, func(o objectapi.Object) bool {
 		left, err := difference(o.Data, m.Data)
 		return err == nil && len(left) == 0
 	})
--- a/internal/ctl/levels.go
+++ b/internal/ctl/levels.go
@@ -61,7 +61,7 @@
 	if !ok {
 		return nil, errors.Errorf("step decode %s/%s: not a service level", o.Kind, o.Name)
 	}
-	class, _ := declared.LengthClass(sl.Class) // Decode has checked it
+	class, _ := declared.ParseLengthClass(sl.Class) // Decode has checked it
 	level := func(measure string) slo.Level {
 		objective := slo.ObjectiveName(o.Name, measure)
 		return slo.Level{
@@ -70,7 +70,7 @@
 			Classes:    []request.Class{class},
 			Objective:  objective,
 			Target:     sl.Objective,
-			AlertRules: pairsOf(sl.Windows),
+			AlertRules: pairsOf(sl.AlertRules),
 		}
 	}
 	out := []slo.Level{level(slo.MeasureTTFT)}
@@ -81,15 +81,15 @@
 }
 
 // pairsOf makes the pair that takes the fastest burn the one that pages.
-func pairsOf(windows []declared.BurnWindow) []slo.AlertRule {
+func pairsOf(windows []declared.AlertRule) []slo.AlertRule {
 	var fastest float64
 	for _, w := range windows {
-		fastest = max(fastest, w.Rate)
+		fastest = max(fastest, w.BurnThreshold)
 	}
 	var out []slo.AlertRule
 	for _, w := range windows {
-		p := slo.AlertRule{ShortWindow: time.Duration(w.Short), LongWindow: time.Duration(w.Long), BurnThreshold: w.Rate, State: slo.StateWarning}
-		if w.Rate == fastest {
+		p := slo.AlertRule{ShortWindow: time.Duration(w.ShortWindow), LongWindow: time.Duration(w.LongWindow), BurnThreshold: w.BurnThreshold, State: slo.StateWarning}
+		if w.BurnThreshold == fastest {
 			p.State = slo.StatePage
 		}
 		out = append(out, p)
--- a/internal/ctl/manifest.go
+++ b/internal/ctl/manifest.go
@@ -25,8 +25,8 @@
 // *.settings.json) and
 // validates all objects. The error lists the faults of all files, each path
 // beginning with the file, and matches ErrManifest.
-func readManifests(paths []string, stdin io.Reader) ([]declared.Decoded, error) {
-	var out []declared.Decoded
+func readManifests(paths []string, stdin io.Reader) ([]declared.DecodedObject, error) {
+	var out []declared.DecodedObject
 	var faults config.Faults
 	from := make(map[[2]string]string) // file by kind and name
 	for _, p := range paths {
@@ -55,7 +55,7 @@
 
 // repeated finds objects that stand in an earlier file too: which value won
 // would depend on the order of files.
-func repeated(objects []declared.Decoded, file string, from map[[2]string]string) config.Faults {
+func repeated(objects []declared.DecodedObject, file string, from map[[2]string]string) config.Faults {
 	var faults config.Faults
 	for _, o := range objects {
 		id := [2]string{o.Kind, o.Name}
@@ -89,9 +89,9 @@
 	return files, errors.Annotate(err, "step read directory")
 }
 
-func readFile(path string, stdin io.Reader) ([]declared.Decoded, error) {
+func readFile(path string, stdin io.Reader) ([]declared.DecodedObject, error) {
 	if path == "-" {
-		objects, err := declared.DecodeAll(stdin)
+		objects, err := declared.DecodeManifests(stdin)
 		return objects, errors.Annotate(err, "step read standard input")
 	}
 	objects, err := declared.DecodeFile(path)
--- a/internal/dev/backends.go
+++ b/internal/dev/backends.go
@@ -49,7 +49,7 @@
 		Zone:    member.Zone,
 		Region:  region,
 		Pool:    set.Pool,
-		Service: set.Service,
+		Service: set.PlainService,
 		Role:    backend.RoleMixed,
 	}
 	address, err := f.startStandin(b, set, &d)
@@ -90,7 +90,7 @@
 func (f *Fleet) startStandin(b *Backend, set *declared.BackendServerSet, d *backend.Descriptor) (string, error) {
 	var address string
 	var err error
-	if set.Service {
+	if set.PlainService {
 		b.Service, address, err = standinservice.Start()
 		return address, err
 	}
--- a/internal/dev/deployment.go
+++ b/internal/dev/deployment.go
@@ -37,7 +37,7 @@
 
 // Deployment returns the declared objects that a built-in mix runs on: a pool of
 // engines like the given one, the plain service and a policy for each workspace.
-func Deployment(mix *load.Mix, engine standinengine.Config) ([]declared.Decoded, error) {
+func Deployment(mix *load.Mix, engine standinengine.Config) ([]declared.DecodedObject, error) {
 	size, ok := sizes[mix.Model]
 	if !ok {
 		return nil, errors.NotFoundf("deployment for model %s", mix.Model)
@@ -59,14 +59,14 @@
 	if err != nil {
 		return nil, errors.Trace(err)
 	}
-	return declared.DecodeAll(bytes.NewReader(data))
+	return declared.DecodeManifests(bytes.NewReader(data))
 }
 
 func poolSpec(size Size, engine standinengine.Config) map[string]any {
 	return map[string]any{
 		"models": []declared.Model{{Name: modelName, Version: "1", Source: modelName + "/1",
 			Replicas: declared.Replicas{Mixed: size.Engines}}},
-		"engine": declared.EngineExpectation{
+		"engine": declared.EngineCapacity{
 			PrefillRate:  int64(engine.PrefillRate),
 			DecodeRate:   decodeRate(engine),
 			MemoryTokens: int64(engine.MemoryTokens),
@@ -87,10 +87,10 @@
 		"service": service,
 		"zones":   zones,
 		"template": declared.ServerTemplate{
-			Name:    pool + "-{index}",
-			Address: fmt.Sprintf("127.0.0.1:%d{index}", portPrefix),
-			First:   100,
-			Count:   count,
+			Name:       pool + "-{index}",
+			Address:    fmt.Sprintf("127.0.0.1:%d{index}", portPrefix),
+			FirstIndex: 100,
+			Count:      count,
 		},
 	}
 }
--- a/internal/dev/experiment_test.go
+++ b/internal/dev/experiment_test.go
@@ -23,7 +23,7 @@
 		for _, o := range objects {
 			switch spec := o.Spec.(type) {
 			case *declared.BackendServerSet:
-				servers[spec.Service] += len(spec.Members())
+				servers[spec.PlainService] += len(spec.Members())
 			case *declared.WorkspacePolicy:
 				policies++
 			}
--- a/internal/dev/fleet.go
+++ b/internal/dev/fleet.go
@@ -35,7 +35,7 @@
 
 // Config sets up a Fleet. Zero fields take defaults.
 type Config struct {
-	Objects []declared.Decoded // the deployment, as briarturnctl apply takes it
+	Objects []declared.DecodedObject // the deployment, as briarturnctl apply takes it
 	Entries int
 	Policy  string // routing policy of all entries
 	// Speed multiplies the declared prefill and decode rates; zero means one.
@@ -108,7 +108,7 @@
 
 // sped returns an object's value with a workspace's token rate multiplied as the
 // engines' are, so that a deployment in fast motion keeps its proportions.
-func (f *Fleet) sped(d declared.Decoded) (json.RawMessage, error) {
+func (f *Fleet) sped(d declared.DecodedObject) (json.RawMessage, error) {
 	policy, ok := d.Spec.(*declared.WorkspacePolicy)
 	if !ok || f.cfg.Speed == 1 {
 		return d.Data, nil
--- a/internal/dev/fleet_test.go
+++ b/internal/dev/fleet_test.go
@@ -26,13 +26,13 @@
 
 func startSmall(t *testing.T, change func(*Config)) *Fleet {
 	t.Helper()
-	objects, err := declared.DecodeAll(strings.NewReader(small))
+	objects, err := declared.DecodeManifests(strings.NewReader(small))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, w := range testMix(t).Workspaces {
 		policy := `{"kind":"WorkspacePolicy","name":"` + w.Name + `","spec":{}}`
-		more, err := declared.DecodeAll(strings.NewReader(policy))
+		more, err := declared.DecodeManifests(strings.NewReader(policy))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/dev/path_bench_test.go
+++ b/internal/dev/path_bench_test.go
@@ -42,7 +42,7 @@
   "pool":"briar-pool","zones":["hobart"],
   "template":{"name":"engine-{index}","address":"127.0.0.1:9{index}","first":100,"count":%[1]d}}},
 {"kind":"WorkspacePolicy","name":%[2]q,"spec":{}}]`, engines, benchWorkspace)
-	objects, err := declared.DecodeAll(strings.NewReader(text))
+	objects, err := declared.DecodeManifests(strings.NewReader(text))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/gatewaynode/node.go
+++ b/internal/gatewaynode/node.go
@@ -220,13 +220,13 @@
 
 func (n *Node) watch(ctx context.Context, kind string, wait time.Duration, follow *follower) {
 	config := watcherConfig(kind, wait)
-	config.WaitProves = kind != n.cfg.Decoder.ConfigKind // a removed key has to be refused whatever the store does
+	config.EmptyWaitIsCurrent = kind != n.cfg.Decoder.ConfigKind // a removed key has to be refused whatever the store does
 	config.Store = n.cfg.Store
 	config.Sink = n.replica
-	config.Lost = n.lost
-	config.Hold = follow.leavesStore
-	config.After = n.replica.Revision
-	config.Failed = follow.failed
+	config.OnUnavailable = n.lost
+	config.Suspended = follow.leavesStore
+	config.CurrentRevision = n.replica.Revision
+	config.OnCallFailed = follow.failed
 	config.Metrics = n.cfg.Metrics
 	config.Log = n.cfg.Log
 	go objectapi.NewWatcher(config).Run(ctx)
--- a/internal/gatewaynode/peers_test.go
+++ b/internal/gatewaynode/peers_test.go
@@ -79,9 +79,9 @@
 	f := newFollower(r, kinds, readers, z.clock)
 	f.gathers = gathers
 	config := watcherConfig(testKind, serversWait)
-	config.WaitProves = true
+	config.EmptyWaitIsCurrent = true
 	config.Store, config.Sink, config.Clock = store, r, z.clock
-	config.Hold, config.Failed, config.After = f.leavesStore, f.failed, r.Revision
+	config.Suspended, config.OnCallFailed, config.CurrentRevision = f.leavesStore, f.failed, r.Revision
 	go objectapi.NewWatcher(config).Run(ctx)
 	go f.puller(z, metrics.NewRegistry()).Run(ctx)
 	return h
--- a/internal/gatewaynode/sink.go
+++ b/internal/gatewaynode/sink.go
@@ -60,13 +60,13 @@
 		if !ok {
 			continue
 		}
-		if s.routes.Offer(table, l.Asked) {
+		if s.routes.Offer(table, l.CurrentAsOf) {
 			s.cfg.Log.WithFields(logrus.Fields{"revision": table.Revision(), "object_revision": l.Objects[i].Version}).
 				Info("configuration in force")
 		}
 		return
 	}
-	s.routes.MarkCurrent(l.Asked)
+	s.routes.MarkCurrent(l.CurrentAsOf)
 }
 
 func (s *sink) replaceServers(l objectapi.Listing) {
@@ -79,7 +79,7 @@
 		}
 	}
 	s.directory.Replace(servers, now)
-	s.directory.MarkCurrent(l.Asked)
+	s.directory.MarkCurrent(l.CurrentAsOf)
 	s.listed.Store(true)
 	s.cfg.Log.WithFields(logrus.Fields{"servers": len(servers), "object_revision": l.Revision}).Info("backend servers listed")
 }
@@ -106,7 +106,7 @@
 		}
 		s.logServer(server, state, o.Version)
 	}
-	s.directory.MarkCurrent(l.Asked)
+	s.directory.MarkCurrent(l.CurrentAsOf)
 }
 
 // noteRestart forgets the work of a server that has started again under its name.
--- a/internal/gatewaynode/zones.go
+++ b/internal/gatewaynode/zones.go
@@ -39,7 +39,7 @@
 	for i, o := range l.Objects {
 		zones[i] = o.Name
 	}
-	began, ended := s.zones.Replace(zones, l.Asked)
+	began, ended := s.zones.Replace(zones, l.CurrentAsOf)
 	for _, zone := range began {
 		s.logZone(zone, "evacuated", l.Revision)
 	}
@@ -57,7 +57,7 @@
 			s.logZone(o.Name, "evacuated", o.Version)
 		}
 	}
-	s.zones.MarkCurrent(l.Asked)
+	s.zones.MarkCurrent(l.CurrentAsOf)
 }
 
 func (s *sink) logZone(zone, state string, revision uint64) {
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -120,7 +120,7 @@
 		Quarantined:           n.quarantined,
 		OnEngineDeath:         n.engineDied,
 		OnChange:              n.noteChange,
-		Fences:                lease.NewGate(n.cfg.Store),
+		Fences:                lease.NewFenceChecker(n.cfg.Store),
 		AwaitDrainPropagation: n.tellDrain,
 		ChecksFencing:         n.checksFencing,
 		ConfigVersion:         n.configVersion,
--- a/internal/node/entry_catalog.go
+++ b/internal/node/entry_catalog.go
@@ -106,7 +106,7 @@
 // Service implements entry.Catalog.
 func (v catalogView) Service(name string) bool {
 	for _, s := range v.catalog.State().BackendServerSets() {
-		if s.Service && s.Pool == name {
+		if s.PlainService && s.Pool == name {
 			return true
 		}
 	}
--- a/internal/node/levels.go
+++ b/internal/node/levels.go
@@ -11,7 +11,7 @@
 func promisesOf(state *declared.State) []slo.LatencyTarget {
 	var out []slo.LatencyTarget
 	for name, level := range state.ServiceLevels() {
-		class, ok := declared.LengthClass(level.Class)
+		class, ok := declared.ParseLengthClass(level.Class)
 		if !ok {
 			continue
 		}
--- a/internal/node/rollout.go
+++ b/internal/node/rollout.go
@@ -99,7 +99,7 @@
 		out[pool] = true
 	}
 	for _, set := range state.BackendServerSets() {
-		if !set.Service {
+		if !set.PlainService {
 			out[set.Pool] = true
 		}
 	}
--- a/lease/gate.go
+++ b/lease/gate.go
@@ -13,18 +13,18 @@
 // ErrStaleFence means that an order came under an older term than the newest known.
 const ErrStaleFence = errors.ConstError("stale fencing number")
 
-// Gate keeps the highest fencing number of each lease for a backend server that
+// FenceChecker keeps the highest fencing number of each lease for a backend server that
 // does not check them itself. It is safe for concurrent use.
-type Gate struct {
+type FenceChecker struct {
 	store objectapi.Store
 
 	mu      sync.Mutex // guards highest
 	highest map[string]uint64
 }
 
-// NewGate returns a gate that learns its floors from store.
-func NewGate(store objectapi.Store) *Gate {
-	return &Gate{store: store, highest: map[string]uint64{}}
+// NewFenceChecker returns a gate that learns its floors from store.
+func NewFenceChecker(store objectapi.Store) *FenceChecker {
+	return &FenceChecker{store: store, highest: map[string]uint64{}}
 }
 
 // Admit returns nil if an order under this fence may be carried out, and
@@ -32,7 +32,7 @@
 // the floor from the store; where that fails, the order must not be carried out
 // and the store's error is returned: a gate that forgot its floor over a restart
 // would let the holder of an old term through.
-func (g *Gate) Admit(ctx context.Context, name string, fence uint64) error {
+func (g *FenceChecker) Admit(ctx context.Context, name string, fence uint64) error {
 	if err := g.learn(ctx, name); err != nil {
 		return errors.Annotatef(err, "step learn fence, lease %s", name)
 	}
@@ -45,14 +45,14 @@
 	return nil
 }
 
-// Highest returns the highest fence known of a lease, zero if none.
-func (g *Gate) Highest(name string) uint64 {
+// HighestFence returns the highest fence known of a lease, zero if none.
+func (g *FenceChecker) HighestFence(name string) uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.highest[name]
 }
 
-func (g *Gate) learn(ctx context.Context, name string) error {
+func (g *FenceChecker) learn(ctx context.Context, name string) error {
 	g.mu.Lock()
 	_, known := g.highest[name]
 	g.mu.Unlock()
--- a/lease/gate_test.go
+++ b/lease/gate_test.go
@@ -21,7 +21,7 @@
 			t.Fatal(err)
 		}
 		second := acquire(t, manager(store, "b"))
-		restarted := NewGate(store)
+		restarted := NewFenceChecker(store)
 		if err := restarted.Admit(t.Context(), testName, first.Fence()); !errors.Is(err, ErrStaleFence) {
 			t.Errorf("old fence: %v, want ErrStaleFence", err)
 		}
@@ -37,7 +37,7 @@
 func TestGateRefusesWithoutFloor(t *testing.T) {
 	store := standin.NewMemory(standin.Config{})
 	store.SetFaults(standin.Faults{Down: true})
-	err := NewGate(store).Admit(t.Context(), testName, 7)
+	err := NewFenceChecker(store).Admit(t.Context(), testName, 7)
 	if !errors.Is(err, objectapi.ErrUnavailable) {
 		t.Errorf("got %v, want ErrUnavailable", err)
 	}
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -202,7 +202,7 @@
 // a store that does not answer must not keep a lapsed lease looking alive.
 func (l *Lease) keep() {
 	for {
-		wait := min(l.m.cfg.Renew, l.left())
+		wait := min(l.m.cfg.RenewInterval, l.left())
 		select {
 		case <-l.done:
 			return
--- a/lease/manager.go
+++ b/lease/manager.go
@@ -44,12 +44,12 @@
 
 // Config of a Manager.
 type Config struct {
-	Store   objectapi.Store
-	Holder  string        // name in the object, for people; need not be unique
-	Term    time.Duration // DefaultTerm if zero
-	Renew   time.Duration // between renewals; a third of Term if zero
-	Logger  logrus.FieldLogger
-	Metrics metrics.Registry
+	Store         objectapi.Store
+	Holder        string        // name in the object, for people; need not be unique
+	Term          time.Duration // DefaultTerm if zero
+	RenewInterval time.Duration // between renewals; a third of Term if zero
+	Logger        logrus.FieldLogger
+	Metrics       metrics.Registry
 }
 
 // Manager acquires leases for one process. It is safe for concurrent use.
@@ -94,8 +94,8 @@
 	if cfg.Term <= 0 {
 		cfg.Term = DefaultTerm
 	}
-	if cfg.Renew <= 0 {
-		cfg.Renew = cfg.Term / renewalsPerTerm
+	if cfg.RenewInterval <= 0 {
+		cfg.RenewInterval = cfg.Term / renewalsPerTerm
 	}
 	if cfg.Logger == nil {
 		cfg.Logger = logrus.StandardLogger()
@@ -127,7 +127,7 @@
 		select {
 		case <-ctx.Done():
 			return nil, errors.Annotatef(ctx.Err(), "step acquire, lease %s: %v", name, err)
-		case <-time.After(m.cfg.Renew):
+		case <-time.After(m.cfg.RenewInterval):
 		}
 	}
 }
--- a/objectapi/settle.go
+++ b/objectapi/settle.go
@@ -14,16 +14,16 @@
 	settleBackoffMax     = time.Second
 )
 
-// Write is one conditional write: a Create if Version is 0, else an Update of
+// ConditionalWrite is one conditional write: a Create if Version is 0, else an Update of
 // that version.
-type Write struct {
+type ConditionalWrite struct {
 	Kind    string
 	Name    string
 	Data    json.RawMessage
 	Version uint64
 }
 
-func (w Write) send(ctx context.Context, s Store) (Object, error) {
+func (w ConditionalWrite) send(ctx context.Context, s Store) (Object, error) {
 	if w.Version == 0 {
 		return s.Create(ctx, w.Kind, w.Name, w.Data)
 	}
@@ -32,14 +32,14 @@
 
 // open reports whether the write could still take effect on what was read:
 // its condition holds, so a copy of it that is on its way may yet land.
-func (w Write) open(o Object, err error) bool {
+func (w ConditionalWrite) open(o Object, err error) bool {
 	if w.Version == 0 {
 		return errors.Is(err, ErrNotFound)
 	}
 	return err == nil && o.Version == w.Version
 }
 
-// SettleWrite sends a write and, where the outcome is unknown, finds it out by
+// WriteAndVerify sends a write and, where the outcome is unknown, finds it out by
 // reading the object back. mine reports whether an object carries the mark that
 // only this write put there (a random number in the value, say).
 //
@@ -56,7 +56,7 @@
 //
 // A Create is settled only for names that are never deleted: a late copy could
 // land after a deletion.
-func SettleWrite(ctx context.Context, s Store, w Write, mine func(Object) bool) (Object, error) {
+func WriteAndVerify(ctx context.Context, s Store, w ConditionalWrite, mine func(Object) bool) (Object, error) {
 	o, err := w.send(ctx, s)
 	if !errors.Is(err, ErrOutcomeUnknown) {
 		return o, err
@@ -74,7 +74,7 @@
 
 // settleOnce reads back once, and writes once more where the condition holds.
 // An error that is not permanent means: ask again.
-func settleOnce(ctx context.Context, s Store, w Write, mine func(Object) bool) (Object, error) {
+func settleOnce(ctx context.Context, s Store, w ConditionalWrite, mine func(Object) bool) (Object, error) {
 	o, err := s.Get(ctx, w.Kind, w.Name)
 	switch {
 	case err == nil && mine(o):
--- a/objectapi/settle_test.go
+++ b/objectapi/settle_test.go
@@ -31,7 +31,7 @@
 func settleOnceUnderFaults(rt *rapid.T) {
 	m := standin.NewMemory(standin.Config{Seed: rapid.Uint64().Draw(rt, "seed")})
 	background := context.Background()
-	w := objectapi.Write{Kind: "K", Name: "a", Data: json.RawMessage(`"mine"`)}
+	w := objectapi.ConditionalWrite{Kind: "K", Name: "a", Data: json.RawMessage(`"mine"`)}
 	if rapid.Bool().Draw(rt, "update") {
 		o, err := m.Create(background, "K", "a", json.RawMessage(`"first"`))
 		if err != nil {
@@ -49,7 +49,7 @@
 	ctx, cancel := context.WithTimeout(background, 2*time.Second)
 	defer cancel()
 
-	o, err := objectapi.SettleWrite(ctx, m, w, carries(w.Data))
+	o, err := objectapi.WriteAndVerify(ctx, m, w, carries(w.Data))
 	took := inHistory(rt, m, w.Data)
 	switch {
 	case err == nil && took == 0:
@@ -110,8 +110,8 @@
 				s = afterCreate{m, func() { overwrite(m) }}
 			}
 			mark := json.RawMessage(fmt.Sprintf("%q", c.name))
-			_, err := objectapi.SettleWrite(context.Background(), s,
-				objectapi.Write{Kind: "K", Name: "a", Data: mark}, carries(mark))
+			_, err := objectapi.WriteAndVerify(context.Background(), s,
+				objectapi.ConditionalWrite{Kind: "K", Name: "a", Data: mark}, carries(mark))
 			wantErr(t, err, c.want)
 		})
 	}
@@ -136,8 +136,8 @@
 func TestSettleWriteMeetsItsOwnLateCopy(t *testing.T) {
 	s := &hangingCreate{Memory: standin.NewMemory(standin.Config{})}
 	mark := json.RawMessage(`"mine"`)
-	_, err := objectapi.SettleWrite(context.Background(), s,
-		objectapi.Write{Kind: "K", Name: "a", Data: mark}, carries(mark))
+	_, err := objectapi.WriteAndVerify(context.Background(), s,
+		objectapi.ConditionalWrite{Kind: "K", Name: "a", Data: mark}, carries(mark))
 	wantErr(t, err, nil)
 	if n := s.Revision(); n != 1 {
 		t.Fatalf("%d writes took effect, want 1", n)
--- a/objectapi/store.go
+++ b/objectapi/store.go
@@ -54,9 +54,9 @@
 type Listing struct {
 	Revision uint64   `json:"revision"`
 	Objects  []Object `json:"objects"`
-	// Asked is when the call that brought it began; a Watcher sets it. What the
+	// CurrentAsOf is when the call that brought it began; a Watcher sets it. What the
 	// listing says was current then or later.
-	Asked boottime.Instant `json:"-"`
+	CurrentAsOf boottime.Instant `json:"-"`
 }
 
 // Store is the object API as the rest of the system sees it. All methods are
--- a/objectapi/watcher.go
+++ b/objectapi/watcher.go
@@ -54,28 +54,28 @@
 	Store Store
 	Kinds []string
 	Sink  Sink
-	// Lost, if set, is told when the store stops answering for a kind; the next
+	// OnUnavailable, if set, is told when the store stops answering for a kind; the next
 	// call of the Sink for the kind says that it answers again.
-	Lost func(kind string)
-	// Failed, if set, is told of each call for a kind that failed.
-	Failed func(kind string)
-	// After, if set, returns a revision that the sink is known to be at, in another way
+	OnUnavailable func(kind string)
+	// OnCallFailed, if set, is told of each call for a kind that failed.
+	OnCallFailed func(kind string)
+	// CurrentRevision, if set, returns a revision that the sink is known to be at, in another way
 	// than by this Watcher: a watch that was put off goes on from there. From its own last
 	// place it would be told again what the sink has, or that its place is forgotten.
-	After func(kind string) uint64
-	// Hold, if set, is asked before each call for a kind: while it is true the call waits,
+	CurrentRevision func(kind string) uint64
+	// Suspended, if set, is asked before each call for a kind: while it is true the call waits,
 	// because the sink is kept current in another way. A list that waited until After has
 	// a revision isn't needed any more. The first watch after that doesn't wait for a
 	// change, so that it soon tells how things are.
-	Hold func(kind string) bool
+	Suspended func(kind string) bool
 	// Wait is how long a watch waits for a change.
 	Wait time.Duration
-	// WaitProves takes a watch that came back without a change, after all of its wait, for
+	// EmptyWaitIsCurrent takes a watch that came back without a change, after all of its wait, for
 	// proof of how things were at the end of the wait; else each watch proves only how they
 	// were when it was asked. A watch then waits only until the last proof is Wait old. Not
 	// for what has to hold against an object API that drops a change without a word.
-	WaitProves bool
-	Interval   time.Duration
+	EmptyWaitIsCurrent bool
+	Interval           time.Duration
 	// BackoffMax bounds the wait between two tries while the store is away.
 	BackoffMax time.Duration
 	Clock      boottime.Clock // boottime.Now by default
@@ -129,8 +129,8 @@
 	kind    string
 	after   uint64
 	failing bool
-	held    bool   // the last watch was put off
-	reason  Reason // of the next call
+	held    bool       // the last watch was put off
+	reason  CallReason // of the next call
 	proved  boottime.Instant
 }
 
@@ -147,7 +147,7 @@
 		case err == nil:
 			k.noteState(nil)
 			wait.Reset()
-			step, k.reason = k.watch, ReasonFollow
+			step, k.reason = k.watch, ReasonNextWatch
 			sleep.For(ctx, w.config.Interval-time.Since(begun))
 		case errors.Is(err, ErrGap):
 			w.gaps.Inc(1)
@@ -156,8 +156,8 @@
 		case ctx.Err() == nil:
 			k.noteState(err)
 			k.reason = ReasonRetry
-			if w.config.Failed != nil {
-				w.config.Failed(k.kind)
+			if w.config.OnCallFailed != nil {
+				w.config.OnCallFailed(k.kind)
 			}
 			sleep.For(ctx, wait.NextBackOff())
 		}
@@ -166,7 +166,7 @@
 
 func (k *kindWatch) list(ctx context.Context) error {
 	k.hold(ctx)
-	if k.held && k.config.After != nil && k.config.After(k.kind) > 0 {
+	if k.held && k.config.CurrentRevision != nil && k.config.CurrentRevision(k.kind) > 0 {
 		return nil
 	}
 	asked := k.config.Clock()
@@ -175,7 +175,7 @@
 		return errors.Trace(err)
 	}
 	k.lists.Inc(1)
-	l.Asked = asked
+	l.CurrentAsOf = asked
 	k.proved = asked
 	k.after = l.Revision
 	k.mu.Lock()
@@ -188,14 +188,14 @@
 // that turned out not to be needed, the watch behind it counts as put off too.
 func (k *kindWatch) hold(ctx context.Context) {
 	k.held = k.held && k.after == 0
-	for k.config.Hold != nil && k.config.Hold(k.kind) && sleep.For(ctx, holdPoll) {
+	for k.config.Suspended != nil && k.config.Suspended(k.kind) && sleep.For(ctx, holdPoll) {
 		k.held = true
 	}
 }
 
 // wait is how long the next watch waits: until the last proof is as old as it may be.
 func (k *kindWatch) wait() time.Duration {
-	if !k.config.WaitProves {
+	if !k.config.EmptyWaitIsCurrent {
 		return k.config.Wait
 	}
 	return max(k.config.Wait-k.config.Clock().Sub(k.proved), 0)
@@ -205,9 +205,9 @@
 	k.hold(ctx)
 	wait := k.wait()
 	if k.held {
-		wait, k.reason = 0, ReasonTakeUp
-		if k.config.After != nil {
-			k.after = max(k.after, k.config.After(k.kind))
+		wait, k.reason = 0, ReasonResumeWatch
+		if k.config.CurrentRevision != nil {
+			k.after = max(k.after, k.config.CurrentRevision(k.kind))
 		}
 	}
 	asked := k.config.Clock()
@@ -215,10 +215,10 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	if k.config.WaitProves && len(l.Objects) == 0 && k.config.Clock().Sub(asked) >= wait {
+	if k.config.EmptyWaitIsCurrent && len(l.Objects) == 0 && k.config.Clock().Sub(asked) >= wait {
 		asked = asked.Add(wait)
 	}
-	l.Asked = asked
+	l.CurrentAsOf = asked
 	k.proved = asked
 	k.after = l.Revision
 	k.mu.Lock()
@@ -233,8 +233,8 @@
 	switch {
 	case err != nil && !k.failing:
 		log.WithError(err).Warn("watch of the object API lost")
-		if k.config.Lost != nil {
-			k.config.Lost(k.kind)
+		if k.config.OnUnavailable != nil {
+			k.config.OnUnavailable(k.kind)
 		}
 	case err == nil && k.failing:
 		log.WithField("revision", k.after).Info("watch of the object API resumed")
--- a/objectapi/watcher_test.go
+++ b/objectapi/watcher_test.go
@@ -197,7 +197,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		w := objectapi.NewWatcher(objectapi.WatcherConfig{
-			Store: m, Kinds: []string{"A"}, Sink: s, Hold: func(string) bool { return held.Load() },
+			Store: m, Kinds: []string{"A"}, Sink: s, Suspended: func(string) bool { return held.Load() },
 		})
 		go func() {
 			defer close(done)
@@ -235,7 +235,7 @@
 	if a.proved > 0 {
 		a.most = max(a.most, a.clock().Sub(a.proved))
 	}
-	a.proved = max(a.proved, l.Asked)
+	a.proved = max(a.proved, l.CurrentAsOf)
 }
 
 // A watch that waits without a change is taken for proof of the moment at which it was
@@ -252,7 +252,7 @@
 			go func() {
 				defer close(done)
 				objectapi.NewWatcher(objectapi.WatcherConfig{
-					Store: m, Kinds: []string{"A"}, Sink: s, Clock: s.clock, Wait: wait, WaitProves: true, Interval: 250 * time.Millisecond,
+					Store: m, Kinds: []string{"A"}, Sink: s, Clock: s.clock, Wait: wait, EmptyWaitIsCurrent: true, Interval: 250 * time.Millisecond,
 				}).Run(ctx)
 			}()
 			time.Sleep(100 * time.Millisecond)
--- a/replica/history_test.go
+++ b/replica/history_test.go
@@ -42,7 +42,7 @@
 
 // list delivers the full state to an entry.
 func (o *fakeStore) list(e *entry) {
-	l := objectapi.Listing{Revision: o.revision, Asked: e.now}
+	l := objectapi.Listing{Revision: o.revision, CurrentAsOf: e.now}
 	for _, object := range o.states[o.revision] {
 		l.Objects = append(l.Objects, object)
 	}
@@ -51,7 +51,7 @@
 
 // watch delivers the changes since the entry's revision.
 func (o *fakeStore) watch(e *entry) {
-	l := objectapi.Listing{Revision: o.revision, Asked: e.now}
+	l := objectapi.Listing{Revision: o.revision, CurrentAsOf: e.now}
 	for _, event := range o.events {
 		if event.Version > e.replica.Revision(kind) {
 			l.Objects = append(l.Objects, event)
--- a/replica/puller.go
+++ b/replica/puller.go
@@ -205,7 +205,7 @@
 	if p.cfg.Replica.Confirm(kind, s.GetDigest(), confirmed) {
 		return
 	}
-	l := objectapi.Listing{Revision: s.GetRevision(), Asked: confirmed}
+	l := objectapi.Listing{Revision: s.GetRevision(), CurrentAsOf: confirmed}
 	for _, o := range s.GetObjects() {
 		l.Objects = append(l.Objects, objectapi.Object{Kind: kind, Name: o.GetName(), Version: o.GetVersion(), Data: o.GetData(), Deleted: o.GetDeleted()})
 	}
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -49,7 +49,7 @@
 	if old != nil && l.Revision < old.revision {
 		return
 	}
-	s := &kindState{revision: l.Revision, confirmed: l.Asked, objects: make(map[string]objectapi.Object, len(l.Objects))}
+	s := &kindState{revision: l.Revision, confirmed: l.CurrentAsOf, objects: make(map[string]objectapi.Object, len(l.Objects))}
 	if old != nil {
 		s.confirmed = max(s.confirmed, old.confirmed)
 	}
@@ -81,7 +81,7 @@
 		s.history.add(batch{from: s.revision, to: l.Revision, changed: l.Objects})
 	}
 	s.revision = l.Revision
-	s.confirmed = max(s.confirmed, l.Asked)
+	s.confirmed = max(s.confirmed, l.CurrentAsOf)
 	for _, o := range l.Objects {
 		if o.Deleted {
 			delete(s.objects, o.Name)
@@ -103,7 +103,7 @@
 		return false
 	}
 	s.confirmed = max(s.confirmed, confirmed)
-	r.next.Events(kind, objectapi.Listing{Revision: s.revision, Asked: confirmed})
+	r.next.Events(kind, objectapi.Listing{Revision: s.revision, CurrentAsOf: confirmed})
 	return true
 }
 
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -94,8 +94,8 @@
 // and only the object API could confirm the state of an entry.
 func TestRefusedEntryReadsThroughPeer(t *testing.T) {
 	refused, peer := newEntry(atSecond(1000)), newEntry(atSecond(7))
-	refused.replica.Snapshot(kind, objectapi.Listing{Revision: 10, Asked: atSecond(996), Objects: []objectapi.Object{object("main", 9)}})
-	newest := objectapi.Listing{Revision: 14, Asked: atSecond(6), Objects: []objectapi.Object{object("main", 13)}}
+	refused.replica.Snapshot(kind, objectapi.Listing{Revision: 10, CurrentAsOf: atSecond(996), Objects: []objectapi.Object{object("main", 9)}})
+	newest := objectapi.Listing{Revision: 14, CurrentAsOf: atSecond(6), Objects: []objectapi.Object{object("main", 13)}}
 	peer.replica.Snapshot(kind, newest)
 
 	refused.pullRound(t, &fakePeers{entries: map[string]*entry{"b": peer}})
@@ -103,7 +103,7 @@
 		t.Errorf("confirmed %v ago, want the peer's 1s", age)
 	}
 	last := refused.sink.listings[len(refused.sink.listings)-1]
-	newest.Asked = atSecond(999)
+	newest.CurrentAsOf = atSecond(999)
 	if d := cmp.Diff(newest, last); d != "" {
 		t.Error(d)
 	}
@@ -115,9 +115,9 @@
 func TestDelayedResponseDoesNotLookFresh(t *testing.T) {
 	asker, peer := newEntry(atSecond(1000)), newEntry(atSecond(7))
 	for _, e := range []*entry{asker, peer} {
-		e.replica.Snapshot(kind, objectapi.Listing{Revision: 10, Asked: e.now.Add(-4 * time.Second), Objects: []objectapi.Object{object("main", 9)}})
+		e.replica.Snapshot(kind, objectapi.Listing{Revision: 10, CurrentAsOf: e.now.Add(-4 * time.Second), Objects: []objectapi.Object{object("main", 9)}})
 	}
-	peer.replica.Events(kind, objectapi.Listing{Revision: 10, Asked: atSecond(6.5)})
+	peer.replica.Events(kind, objectapi.Listing{Revision: 10, CurrentAsOf: atSecond(6.5)})
 	asker.pullRound(t, &fakePeers{entries: map[string]*entry{"b": peer}, responseTime: 8 * time.Second})
 	if age := asker.age(t); age != 8500*time.Millisecond {
 		t.Errorf("confirmed %v ago, want 8.5s", age)
@@ -129,12 +129,12 @@
 // because it arrives last.
 func TestOlderStatesAreIgnored(t *testing.T) {
 	e, lagging := newEntry(atSecond(1000)), newEntry(atSecond(7))
-	held := objectapi.Listing{Revision: 10, Asked: atSecond(990), Objects: []objectapi.Object{object("main", 9)}}
-	old := objectapi.Listing{Revision: 8, Asked: atSecond(7), Objects: []objectapi.Object{object("main", 8), object("removed", 3)}}
+	held := objectapi.Listing{Revision: 10, CurrentAsOf: atSecond(990), Objects: []objectapi.Object{object("main", 9)}}
+	old := objectapi.Listing{Revision: 8, CurrentAsOf: atSecond(7), Objects: []objectapi.Object{object("main", 8), object("removed", 3)}}
 	e.replica.Snapshot(kind, held)
 	lagging.replica.Snapshot(kind, old)
 	e.pullRound(t, &fakePeers{entries: map[string]*entry{"b": lagging}})
-	e.replica.Events(kind, objectapi.Listing{Revision: 9, Asked: atSecond(999), Objects: []objectapi.Object{object("removed", 3)}})
+	e.replica.Events(kind, objectapi.Listing{Revision: 9, CurrentAsOf: atSecond(999), Objects: []objectapi.Object{object("removed", 3)}})
 	if d := cmp.Diff([]objectapi.Listing{held}, e.sink.listings); d != "" {
 		t.Error(d)
 	}
@@ -149,8 +149,8 @@
 func TestSameObjectsAreConfirmedAcrossRevisions(t *testing.T) {
 	e, peer := newEntry(atSecond(1000)), newEntry(atSecond(7))
 	objects := []objectapi.Object{object("a", 3), object("b", 4)}
-	e.replica.Snapshot(kind, objectapi.Listing{Revision: 20, Asked: atSecond(990), Objects: objects})
-	peer.replica.Snapshot(kind, objectapi.Listing{Revision: 18, Asked: atSecond(6), Objects: objects})
+	e.replica.Snapshot(kind, objectapi.Listing{Revision: 20, CurrentAsOf: atSecond(990), Objects: objects})
+	peer.replica.Snapshot(kind, objectapi.Listing{Revision: 18, CurrentAsOf: atSecond(6), Objects: objects})
 	e.pullRound(t, &fakePeers{entries: map[string]*entry{"b": peer}})
 	if age := e.age(t); age != time.Second {
 		t.Errorf("confirmed %v ago, want 1s", age)
@@ -179,7 +179,7 @@
 // is dead, and no other is asked.
 func TestNextPeerIsAskedAfterFailure(t *testing.T) {
 	e, peer := newEntry(atSecond(1000)), newEntry(atSecond(7))
-	peer.replica.Snapshot(kind, objectapi.Listing{Revision: 18, Asked: atSecond(6)})
+	peer.replica.Snapshot(kind, objectapi.Listing{Revision: 18, CurrentAsOf: atSecond(6)})
 	e.pullRound(t, &fakePeers{entries: map[string]*entry{"gone": nil, "b": peer}})
 	if age := e.age(t); age != time.Second {
 		t.Errorf("confirmed %v ago, want 1s", age)
@@ -191,7 +191,7 @@
 func TestOneRequestCoversAllKinds(t *testing.T) {
 	e, peer := newEntry(atSecond(1000)), newEntry(atSecond(7))
 	for _, k := range []string{kind, otherKind} {
-		peer.replica.Snapshot(k, objectapi.Listing{Revision: 18, Asked: atSecond(6), Objects: []objectapi.Object{object("a", 3)}})
+		peer.replica.Snapshot(k, objectapi.Listing{Revision: 18, CurrentAsOf: atSecond(6), Objects: []objectapi.Object{object("a", 3)}})
 	}
 	p := &fakePeers{entries: map[string]*entry{"b": peer}}
 	e.pullRound(t, p)
@@ -216,7 +216,7 @@
 // out of the first response and requested separately.
 func TestLargeStateIsRequestedSeparately(t *testing.T) {
 	e, peer := newEntry(atSecond(1000)), newEntry(atSecond(7))
-	peer.replica.Snapshot(kind, objectapi.Listing{Revision: 18, Asked: atSecond(6), Objects: []objectapi.Object{largeObject(18)}})
+	peer.replica.Snapshot(kind, objectapi.Listing{Revision: 18, CurrentAsOf: atSecond(6), Objects: []objectapi.Object{largeObject(18)}})
 	p := &fakePeers{entries: map[string]*entry{"b": peer}}
 	e.pullRound(t, p)
 	if len(p.requests) != 2 || p.requests[0].GetHeld()[0].GetWhole() || !p.requests[1].GetHeld()[0].GetWhole() {
@@ -232,8 +232,8 @@
 // and discards it.
 func TestLargeStateOfLaggingPeerIsNotRequested(t *testing.T) {
 	e, lagging := newEntry(atSecond(1000)), newEntry(atSecond(7))
-	e.replica.Snapshot(kind, objectapi.Listing{Revision: 20, Asked: atSecond(990), Objects: []objectapi.Object{largeObject(20)}})
-	lagging.replica.Snapshot(kind, objectapi.Listing{Revision: 18, Asked: atSecond(6), Objects: []objectapi.Object{largeObject(18)}})
+	e.replica.Snapshot(kind, objectapi.Listing{Revision: 20, CurrentAsOf: atSecond(990), Objects: []objectapi.Object{largeObject(20)}})
+	lagging.replica.Snapshot(kind, objectapi.Listing{Revision: 18, CurrentAsOf: atSecond(6), Objects: []objectapi.Object{largeObject(18)}})
 	p := &fakePeers{entries: map[string]*entry{"b": lagging}}
 	e.pullRound(t, p)
 	if len(p.requests) != 1 {
--- a/rollout/doc.go
+++ b/rollout/doc.go
@@ -10,7 +10,7 @@
 //   - One actor a pool: the holder of the lease named by LeaseName. Each order
 //     carries its fence, so a paused holder that wakes is refused.
 //   - At most one order at a time goes to an engine.
-//   - At most ModelPool.WeightLoads engines of a pool load from the weight store
+//   - At most ModelPool.MaxWeightLoads engines of a pool load from the weight store
 //     at a time. What a former holder began is counted: engines show it.
 //   - Replicas that serve a model don't fall under Options.MinServing of those
 //     wanted through an order given here, but by one where that would stop all
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -33,7 +33,7 @@
 // Plan returns the orders that may begin now, which bring the engines nearer to
 // what the pool declares. minServing is a share from 0 to 1.
 func Plan(pool *declared.ModelPool, replicas []Replica, minServing float64) Result {
-	p := &planner{placement: place(pool, replicas), slots: pool.WeightLoads, stoppable: map[string]int{}}
+	p := &planner{placement: place(pool, replicas), slots: pool.MaxWeightLoads, stoppable: map[string]int{}}
 	for i := range replicas {
 		if replicas[i].Loading != "" {
 			p.slots--
--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -19,7 +19,7 @@
 }
 
 func pool(models ...declared.Model) *declared.ModelPool {
-	return &declared.ModelPool{Models: models, Zones: zones, WeightLoads: 2}
+	return &declared.ModelPool{Models: models, Zones: zones, MaxWeightLoads: 2}
 }
 
 func engines(n int) []Replica {
@@ -50,8 +50,8 @@
 				loads++
 			}
 		}
-		if loads > p.WeightLoads {
-			t.Fatalf("%d loads at a time, %d allowed", loads, p.WeightLoads)
+		if loads > p.MaxWeightLoads {
+			t.Fatalf("%d loads at a time, %d allowed", loads, p.MaxWeightLoads)
 		}
 		check(during)
 		orders += len(plan.Actions)
@@ -91,7 +91,7 @@
 		}
 	}
 	next := pool(model("m", "2", 16))
-	next.WeightLoads = 16
+	next.MaxWeightLoads = 16
 	if orders := carry(t, next, replicas, enough); orders != 16 {
 		t.Errorf("%d orders, want 16", orders)
 	}
@@ -168,7 +168,7 @@
 
 func drawPool(t *rapid.T) *declared.ModelPool {
 	p := pool()
-	p.WeightLoads = rapid.IntRange(1, 4).Draw(t, "slots")
+	p.MaxWeightLoads = rapid.IntRange(1, 4).Draw(t, "slots")
 	version := rapid.SampledFrom([]string{"1", "2", "3"})
 	for i := range rapid.IntRange(1, 3).Draw(t, "models") {
 		m := model(fmt.Sprintf("m%d", i), version.Draw(t, "version"), rapid.IntRange(0, 6).Draw(t, "mixed"))
--- a/rollout/world_test.go
+++ b/rollout/world_test.go
@@ -45,7 +45,7 @@
 	pool     string
 	now      Replica // as it is
 	reported Replica // as reports show it
-	gate     *lease.Gate
+	gate     *lease.FenceChecker
 	turn     chan struct{}
 }
 
@@ -65,7 +65,7 @@
 	for _, r := range engines(n) {
 		r.Name = pool + "-" + r.Name
 		r.Address = r.Name
-		w.engines[r.Name] = &fakeEngine{pool: pool, now: r, reported: r, gate: lease.NewGate(w.store), turn: make(chan struct{}, 1)}
+		w.engines[r.Name] = &fakeEngine{pool: pool, now: r, reported: r, gate: lease.NewFenceChecker(w.store), turn: make(chan struct{}, 1)}
 	}
 }
 
