--- a/agent/config.go
+++ b/agent/config.go
@@ -36,7 +36,7 @@
 	AwaitDrainPropagation func(ctx context.Context)
 	// Fences admits or refuses orders by the fence of their lease. Without it
 	// every order is refused.
-	Fences *lease.Gate
+	Fences *lease.FenceChecker
 	// ChecksFencing, if set, reports whether the engine itself rejects an order
 	// with an old fencing number, also after a restart of the engine. An order
 	// whose highest fence Fences can't read is then left to the engine's check;
--- a/agent/order.go
+++ b/agent/order.go
@@ -155,7 +155,7 @@
 		out.Code = wirepb.RefuseCode_REFUSE_ENGINE_DOWN
 	}
 	if a.cfg.Fences != nil {
-		out.HighestFence = a.cfg.Fences.Highest(name)
+		out.HighestFence = a.cfg.Fences.HighestFence(name)
 	}
 	return out
 }
