--- a/backend/broken_test.go
+++ b/backend/broken_test.go
@@ -9,22 +9,22 @@
 // Each invariant of the package notices a deliberately broken state.
 func TestBrokenStatesAreNoticed(t *testing.T) {
 	ledger := func() *Ledger { return NewLedger(LedgerConfig{Capacity: 100}) }
-	invarianttest.Violates(t, "backend.ledger.bounds", func() {
+	invarianttest.ExpectViolation(t, "backend.ledger.bounds", func() {
 		l := ledger()
 		l.reserved = 101
 		l.check()
 	})
-	invarianttest.Violates(t, "backend.ledger.earmark", func() {
+	invarianttest.ExpectViolation(t, "backend.ledger.earmark", func() {
 		l := ledger()
 		l.queue.earmark = 1 // for nobody
 		l.check()
 	})
-	invarianttest.Violates(t, "backend.ledger.long", func() {
+	invarianttest.ExpectViolation(t, "backend.ledger.long", func() {
 		l := ledger()
 		l.long = 100
 		l.check()
 	})
-	invarianttest.Violates(t, "backend.table.forward", func() {
+	invarianttest.ExpectViolation(t, "backend.table.forward", func() {
 		rec := &record{row: Row{Incarnation: 5}}
 		rec.restart(4)
 	})
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -46,10 +46,10 @@
 		"one": []
 	}`
 	err := Decode([]byte(file), &outer{})
-	if !errors.Is(err, ErrFaults) {
+	if !errors.Is(err, ErrInvalid) {
 		t.Fatalf("error %v", err)
 	}
-	want := Faults{
+	want := FieldErrors{
 		{"Hidden", "unknown key"},
 		{"address", `"host:80" is no IP:PORT`},
 		{"colour", "key given twice"},
@@ -64,14 +64,14 @@
 		{"one.name", "is required"},
 		{"one.wait", "must be at least 1s"},
 	}
-	if d := cmp.Diff(want, FaultsOf(err)); d != "" {
+	if d := cmp.Diff(want, FieldErrorsOf(err)); d != "" {
 		t.Fatal(d)
 	}
 }
 
 func TestDecodeBrokenJSON(t *testing.T) {
 	for _, file := range []string{``, `[]`, `{`, `{"count":1`, `{"count":1} {}`, `{"count":}`, `{count:1}`} {
-		if err := Decode([]byte(file), &outer{Count: 1}); !errors.Is(err, ErrFaults) {
+		if err := Decode([]byte(file), &outer{Count: 1}); !errors.Is(err, ErrInvalid) {
 			t.Errorf("%q: error %v", file, err)
 		}
 	}
--- a/config/decode.go
+++ b/config/decode.go
@@ -25,7 +25,7 @@
 	for _, f := range faults {
 		unread[f.Path] = true
 	}
-	for _, f := range FaultsOf(Validate(into)) {
+	for _, f := range FieldErrorsOf(Validate(into)) {
 		if !unread[f.Path] {
 			faults = append(faults, f)
 		}
@@ -34,7 +34,7 @@
 }
 
 // decodeInto reads raw into v and goes on after a fault.
-func decodeInto(raw json.RawMessage, v reflect.Value, path string) Faults {
+func decodeInto(raw json.RawMessage, v reflect.Value, path string) FieldErrors {
 	if bytes.Equal(bytes.TrimSpace(raw), []byte("null")) {
 		return nil
 	}
@@ -52,7 +52,7 @@
 		}
 	}
 	if err := json.Unmarshal(raw, v.Addr().Interface()); err != nil {
-		return Faults{{path, plain(err)}}
+		return FieldErrors{{path, plain(err)}}
 	}
 	return nil
 }
@@ -66,7 +66,7 @@
 	return false
 }
 
-func decodeStruct(raw json.RawMessage, v reflect.Value, path string) Faults {
+func decodeStruct(raw json.RawMessage, v reflect.Value, path string) FieldErrors {
 	members, faults := readMembers(raw, path)
 	fields := fieldsOf(v.Type())
 	for _, m := range members {
@@ -74,18 +74,18 @@
 		if i, ok := fields[m.key]; ok {
 			faults = append(faults, decodeInto(m.value, v.Field(i), at)...)
 		} else {
-			faults = append(faults, Fault{at, "unknown key"})
+			faults = append(faults, FieldError{at, "unknown key"})
 		}
 	}
 	return faults
 }
 
-func decodeSlice(raw json.RawMessage, v reflect.Value, path string) Faults {
+func decodeSlice(raw json.RawMessage, v reflect.Value, path string) FieldErrors {
 	var items []json.RawMessage
 	if err := json.Unmarshal(raw, &items); err != nil {
-		return Faults{{path, plain(err)}}
+		return FieldErrors{{path, plain(err)}}
 	}
-	var faults Faults
+	var faults FieldErrors
 	v.Set(reflect.MakeSlice(v.Type(), len(items), len(items)))
 	for i, item := range items {
 		faults = append(faults, decodeInto(item, v.Index(i), fmt.Sprintf("%s[%d]", path, i))...)
@@ -100,38 +100,38 @@
 
 // readMembers splits a JSON object. Of a doubled key the first value counts
 // and the second is a fault: encoding/json would silently take the last.
-func readMembers(raw json.RawMessage, path string) ([]member, Faults) {
+func readMembers(raw json.RawMessage, path string) ([]member, FieldErrors) {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	open, err := d.Token()
 	if err != nil {
-		return nil, Faults{{path, plain(err)}}
+		return nil, FieldErrors{{path, plain(err)}}
 	}
 	if open != json.Delim('{') {
-		return nil, Faults{{path, "must be an object"}}
+		return nil, FieldErrors{{path, "must be an object"}}
 	}
 	var members []member
-	var faults Faults
+	var faults FieldErrors
 	seen := map[string]bool{}
 	for d.More() {
 		key, err := d.Token()
 		if err != nil {
-			return members, append(faults, Fault{path, plain(err)})
+			return members, append(faults, FieldError{path, plain(err)})
 		}
 		m := member{key: key.(string)}
 		if err := d.Decode(&m.value); err != nil {
-			return members, append(faults, Fault{join(path, m.key), plain(err)})
+			return members, append(faults, FieldError{join(path, m.key), plain(err)})
 		}
 		if seen[m.key] {
-			faults = append(faults, Fault{join(path, m.key), "key given twice"})
+			faults = append(faults, FieldError{join(path, m.key), "key given twice"})
 			continue
 		}
 		seen[m.key] = true
 		members = append(members, m)
 	}
 	if _, err := d.Token(); err != nil {
-		faults = append(faults, Fault{path, plain(err)})
+		faults = append(faults, FieldError{path, plain(err)})
 	} else if _, err := d.Token(); err != io.EOF {
-		faults = append(faults, Fault{path, "something follows the JSON value"})
+		faults = append(faults, FieldError{path, "something follows the JSON value"})
 	}
 	return members, faults
 }
--- a/config/distinct.go
+++ b/config/distinct.go
@@ -11,7 +11,7 @@
 const distinctTag = "distinct"
 
 // findDoubled reports the items of v's lists that repeat an earlier one.
-func findDoubled(v reflect.Value, path string) Faults {
+func findDoubled(v reflect.Value, path string) FieldErrors {
 	switch v.Kind() {
 	case reflect.Pointer:
 		if !v.IsNil() {
@@ -20,7 +20,7 @@
 	case reflect.Struct:
 		return findDoubledInFields(v, path)
 	case reflect.Slice:
-		var faults Faults
+		var faults FieldErrors
 		for i := range v.Len() {
 			faults = append(faults, findDoubled(v.Index(i), fmt.Sprintf("%s[%d]", path, i))...)
 		}
@@ -29,8 +29,8 @@
 	return nil
 }
 
-func findDoubledInFields(v reflect.Value, path string) Faults {
-	var faults Faults
+func findDoubledInFields(v reflect.Value, path string) FieldErrors {
+	var faults FieldErrors
 	for i := range v.NumField() {
 		field := v.Type().Field(i)
 		key := keyOf(field)
@@ -46,8 +46,8 @@
 	return faults
 }
 
-func doubledItems(list reflect.Value, by, path string) Faults {
-	var faults Faults
+func doubledItems(list reflect.Value, by, path string) FieldErrors {
+	var faults FieldErrors
 	first := map[any]int{}
 	for i := range list.Len() {
 		item := list.Index(i)
@@ -55,7 +55,7 @@
 			item = item.FieldByName(by)
 		}
 		if j, ok := first[item.Interface()]; ok {
-			faults = append(faults, Fault{fmt.Sprintf("%s[%d]", path, i), fmt.Sprintf("repeats %s[%d]", path, j)})
+			faults = append(faults, FieldError{fmt.Sprintf("%s[%d]", path, i), fmt.Sprintf("repeats %s[%d]", path, j)})
 			continue
 		}
 		first[item.Interface()] = i
--- a/config/fault.go
+++ b/config/fault.go
@@ -7,28 +7,28 @@
 	"github.com/juju/errors"
 )
 
-// ErrFaults is what every Faults error is. Test with errors.Is.
-const ErrFaults = errors.ConstError("faults in JSON")
+// ErrInvalid is what every Faults error is. Test with errors.Is.
+const ErrInvalid = errors.ConstError("faults in JSON")
 
-// Fault is one thing wrong at one place.
-type Fault struct {
+// FieldError is one thing wrong at one place.
+type FieldError struct {
 	Path    string `json:"path"` // as models[0].name; empty for the whole
 	Message string `json:"message"`
 }
 
 // String returns the fault as one line.
-func (f Fault) String() string {
+func (f FieldError) String() string {
 	if f.Path == "" {
 		return f.Message
 	}
 	return f.Path + ": " + f.Message
 }
 
-// Faults is the error that lists all that is wrong, by path.
-type Faults []Fault
+// FieldErrors is the error that lists all that is wrong, by path.
+type FieldErrors []FieldError
 
 // Error implements error, one fault a line.
-func (fs Faults) Error() string {
+func (fs FieldErrors) Error() string {
 	lines := make([]string, len(fs))
 	for i, f := range fs {
 		lines[i] = f.String()
@@ -36,29 +36,29 @@
 	return strings.Join(lines, "\n")
 }
 
-// Is makes errors.Is(err, ErrFaults) true.
-func (fs Faults) Is(target error) bool { return target == ErrFaults }
+// Is makes errors.Is(err, ErrInvalid) true.
+func (fs FieldErrors) Is(target error) bool { return target == ErrInvalid }
 
-// FaultsOf returns the faults that err carries, nil if it carries none.
-func FaultsOf(err error) Faults {
-	var fs Faults
+// FieldErrorsOf returns the faults that err carries, nil if it carries none.
+func FieldErrorsOf(err error) FieldErrors {
+	var fs FieldErrors
 	if errors.As(err, &fs) {
 		return fs
 	}
 	return nil
 }
 
-// Under returns the faults with their paths put under prefix.
-func (fs Faults) Under(prefix string) Faults {
-	out := make(Faults, len(fs))
+// WithPrefix returns the faults with their paths put under prefix.
+func (fs FieldErrors) WithPrefix(prefix string) FieldErrors {
+	out := make(FieldErrors, len(fs))
 	for i, f := range fs {
-		out[i] = Fault{Path: join(prefix, f.Path), Message: f.Message}
+		out[i] = FieldError{Path: join(prefix, f.Path), Message: f.Message}
 	}
 	return out
 }
 
 // err returns nil for no faults, so that a nil error stays nil.
-func (fs Faults) err() error {
+func (fs FieldErrors) err() error {
 	if len(fs) == 0 {
 		return nil
 	}
--- a/config/validate.go
+++ b/config/validate.go
@@ -42,17 +42,17 @@
 	}
 }
 
-// RegisterTag adds a validate tag. Call it from package initialisation only.
-func RegisterTag(tag string, rule validator.Func) { mustRegister(rules, tag, rule) }
+// RegisterTagValidation adds a validate tag. Call it from package initialisation only.
+func RegisterTagValidation(tag string, rule validator.Func) { mustRegister(rules, tag, rule) }
 
-// Report adds a fault of a struct rule. field is the Go name, key the JSON key.
-func Report(sl validator.StructLevel, value any, key, field, message string) {
+// ReportError adds a fault of a struct rule. field is the Go name, key the JSON key.
+func ReportError(sl validator.StructLevel, value any, key, field, message string) {
 	sl.ReportError(value, key, field, tagMessage, message)
 }
 
-// RegisterStruct adds a rule over several fields of the types. Call it from
+// RegisterStructValidation adds a rule over several fields of the types. Call it from
 // package initialisation only. The rule reports with Report.
-func RegisterStruct(rule validator.StructLevelFunc, types ...any) {
+func RegisterStructValidation(rule validator.StructLevelFunc, types ...any) {
 	rules.RegisterStructValidation(rule, types...)
 }
 
@@ -75,7 +75,7 @@
 	}
 	faults := findDoubled(reflect.ValueOf(v), "")
 	for _, f := range found {
-		faults = append(faults, Fault{pathOf(f), messageOf(f)})
+		faults = append(faults, FieldError{pathOf(f), messageOf(f)})
 	}
 	return faults.err()
 }
--- a/declared/backendserverset.go
+++ b/declared/backendserverset.go
@@ -69,12 +69,12 @@
 	return BackendServer{Name: fill.Replace(t.Name), Zone: zone, Address: fill.Replace(t.Address)}
 }
 
-func init() { config.RegisterStruct(checkBackendServerSet, BackendServerSet{}) }
+func init() { config.RegisterStructValidation(checkBackendServerSet, BackendServerSet{}) }
 
 func checkBackendServerSet(sl validator.StructLevel) {
 	s := sl.Current().Interface().(BackendServerSet)
 	if (len(s.Servers) == 0) == (s.Template == nil) {
-		config.Report(sl, s.Servers, "servers", "Servers", "give either servers or a template")
+		config.ReportError(sl, s.Servers, "servers", "Servers", "give either servers or a template")
 		return
 	}
 	if s.Template != nil {
@@ -88,7 +88,7 @@
 	for i, server := range s.Servers {
 		if !zones[server.Zone] {
 			key := fmt.Sprintf("servers[%d].zone", i)
-			config.Report(sl, server.Zone, key, key, fmt.Sprintf("%q is none of the set's zones", server.Zone))
+			config.ReportError(sl, server.Zone, key, key, fmt.Sprintf("%q is none of the set's zones", server.Zone))
 		}
 	}
 }
@@ -102,13 +102,13 @@
 	for _, m := range s.Members() {
 		switch {
 		case !config.IsName(m.Name):
-			config.Report(sl, m, "template.name", "Template", fmt.Sprintf("gives %q, which is no name", m.Name))
+			config.ReportError(sl, m, "template.name", "Template", fmt.Sprintf("gives %q, which is no name", m.Name))
 			return
 		case !config.IsAddrPort(m.Address):
-			config.Report(sl, m, "template.address", "Template", fmt.Sprintf("gives %q, which is no IP:PORT", m.Address))
+			config.ReportError(sl, m, "template.address", "Template", fmt.Sprintf("gives %q, which is no IP:PORT", m.Address))
 			return
 		case seen[m.Name]:
-			config.Report(sl, m, "template.name", "Template", fmt.Sprintf("gives %q twice; use {index}", m.Name))
+			config.ReportError(sl, m, "template.name", "Template", fmt.Sprintf("gives %q twice; use {index}", m.Name))
 			return
 		}
 		seen[m.Name] = true
--- a/declared/catalog_test.go
+++ b/declared/catalog_test.go
@@ -38,7 +38,7 @@
 	r := c.Apply(policy("w", 2, `{"weight":0,"concurency":5}`))
 	want := []Refusal{{
 		Kind: KindWorkspacePolicy, Name: "w", Version: 2, InForce: 1,
-		Faults: config.Faults{{Path: "concurency", Message: "unknown key"}, {Path: "weight", Message: "must be more than 0"}},
+		Faults: config.FieldErrors{{Path: "concurency", Message: "unknown key"}, {Path: "weight", Message: "must be more than 0"}},
 	}}
 	if d := cmp.Diff(want, r.Refused); d != "" {
 		t.Fatal(d)
--- a/declared/edit.go
+++ b/declared/edit.go
@@ -94,9 +94,9 @@
 		r.spec, r.inForce, r.pool = spec, o.Version, spec.pool(o.Name)
 		return r
 	}
-	r.faults = config.FaultsOf(err)
+	r.faults = config.FieldErrorsOf(err)
 	if r.faults == nil {
-		r.faults = config.Faults{{Message: err.Error()}}
+		r.faults = config.FieldErrors{{Message: err.Error()}}
 	}
 	if known != nil {
 		r.spec, r.inForce = known.spec, known.inForce
--- a/declared/file.go
+++ b/declared/file.go
@@ -44,19 +44,19 @@
 
 // DecodeAll reads JSON values one after the other, each a manifest or a list
 // of manifests, and validates all. The error lists the faults of all objects
-// (config.FaultsOf), each path beginning with the number of the object from 0.
+// (config.FieldErrorsOf), each path beginning with the number of the object from 0.
 func DecodeAll(r io.Reader) ([]Decoded, error) {
 	raws, err := splitManifests(io.LimitReader(r, maxFileBytes))
 	if err != nil {
 		return nil, err
 	}
 	var out []Decoded
-	var faults config.Faults
+	var faults config.FieldErrors
 	seen := map[objectKey]int{}
 	for i, raw := range raws {
 		d, err := decodeManifest(raw)
-		if found := config.FaultsOf(err); found != nil {
-			faults = append(faults, found.Under(fmt.Sprintf("[%d]", i))...)
+		if found := config.FieldErrorsOf(err); found != nil {
+			faults = append(faults, found.WithPrefix(fmt.Sprintf("[%d]", i))...)
 			continue
 		}
 		if err != nil {
@@ -64,7 +64,7 @@
 		}
 		key := objectKey{d.Kind, d.Name}
 		if j, ok := seen[key]; ok {
-			faults = append(faults, config.Fault{
+			faults = append(faults, config.FieldError{
 				Path: fmt.Sprintf("[%d].name", i), Message: fmt.Sprintf("repeats %s %q of [%d]", d.Kind, d.Name, j),
 			})
 		}
@@ -88,7 +88,7 @@
 			return out, nil
 		}
 		if err != nil {
-			return nil, config.Faults{{Path: "", Message: fmt.Sprintf("at byte %d: %v", d.InputOffset(), err)}}
+			return nil, config.FieldErrors{{Path: "", Message: fmt.Sprintf("at byte %d: %v", d.InputOffset(), err)}}
 		}
 		if !bytes.HasPrefix(raw, []byte("[")) {
 			out = append(out, raw)
@@ -108,8 +108,8 @@
 		return Decoded{}, err
 	}
 	spec, err := Decode(m.Kind, m.Spec)
-	if found := config.FaultsOf(err); found != nil {
-		return Decoded{}, found.Under("spec")
+	if found := config.FieldErrorsOf(err); found != nil {
+		return Decoded{}, found.WithPrefix("spec")
 	}
 	if err != nil {
 		return Decoded{}, err
--- a/declared/file_test.go
+++ b/declared/file_test.go
@@ -49,7 +49,7 @@
 	]`
 	_, err := DecodeAll(strings.NewReader(file))
 	var got []string
-	for _, f := range config.FaultsOf(err) {
+	for _, f := range config.FieldErrorsOf(err) {
 		got = append(got, f.Path)
 	}
 	want := []string{
@@ -68,7 +68,7 @@
 
 func TestDecodeAllOfBrokenFiles(t *testing.T) {
 	for _, file := range []string{`{`, `[{]`, `[1]`, `"text"`, `{"kind":"ModelPool","name":"p"}`} {
-		if got, err := DecodeAll(strings.NewReader(file)); config.FaultsOf(err) == nil {
+		if got, err := DecodeAll(strings.NewReader(file)); config.FieldErrorsOf(err) == nil {
 			t.Errorf("%s: %v, error %v", file, got, err)
 		}
 	}
@@ -83,7 +83,7 @@
 	} {
 		_, err := DecodeAll(strings.NewReader(`[{"kind":"WorkspacePolicy","name":"w","spec":` + spec + `}]`))
 		got := ""
-		for _, f := range config.FaultsOf(err) {
+		for _, f := range config.FieldErrorsOf(err) {
 			got += f.Path
 		}
 		if got != want {
--- a/declared/kinds.go
+++ b/declared/kinds.go
@@ -40,7 +40,7 @@
 }
 
 // Decode reads and validates the value of an object. The error lists all
-// faults by their path (config.FaultsOf), or is ErrUnknownKind.
+// faults by their path (config.FieldErrorsOf), or is ErrUnknownKind.
 func Decode(kind string, data []byte) (Spec, error) {
 	construct, ok := newSpec[kind]
 	if !ok {
--- a/declared/servicelevel.go
+++ b/declared/servicelevel.go
@@ -54,15 +54,15 @@
 }
 
 func init() {
-	config.RegisterTag("length_class", func(f validator.FieldLevel) bool {
+	config.RegisterTagValidation("length_class", func(f validator.FieldLevel) bool {
 		_, ok := LengthClass(f.Field().String())
 		return ok
 	})
-	config.RegisterStruct(checkBurnWindow, BurnWindow{})
+	config.RegisterStructValidation(checkBurnWindow, BurnWindow{})
 }
 
 func checkBurnWindow(sl validator.StructLevel) {
 	if w := sl.Current().Interface().(BurnWindow); w.Short >= w.Long {
-		config.Report(sl, w.Short, "short", "Short", "must be shorter than long")
+		config.ReportError(sl, w.Short, "short", "Short", "must be shorter than long")
 	}
 }
--- a/declared/state.go
+++ b/declared/state.go
@@ -20,7 +20,7 @@
 	data    json.RawMessage
 	spec    Spec   // in force; nil if none
 	inForce uint64 // version of spec
-	faults  config.Faults
+	faults  config.FieldErrors
 	pool    string // that the object concerns or last concerned; "" if none
 }
 
@@ -108,11 +108,11 @@
 
 // Refusal is a version of an object that was heard of and is not in force.
 type Refusal struct {
-	Kind    string        `json:"kind"`
-	Name    string        `json:"name"`
-	Version uint64        `json:"version"`
-	InForce uint64        `json:"in_force"` // the last good version; 0 if none
-	Faults  config.Faults `json:"faults"`
+	Kind    string             `json:"kind"`
+	Name    string             `json:"name"`
+	Version uint64             `json:"version"`
+	InForce uint64             `json:"in_force"` // the last good version; 0 if none
+	Faults  config.FieldErrors `json:"faults"`
 }
 
 // Refusals returns the objects whose newest version is bad.
--- a/declared/workspacepolicy.go
+++ b/declared/workspacepolicy.go
@@ -49,24 +49,24 @@
 
 func (*WorkspacePolicy) pool(string) string { return "" }
 
-func init() { config.RegisterStruct(checkWorkspacePolicy, WorkspacePolicy{}) }
+func init() { config.RegisterStructValidation(checkWorkspacePolicy, WorkspacePolicy{}) }
 
 func checkWorkspacePolicy(sl validator.StructLevel) {
 	p := sl.Current().Interface().(WorkspacePolicy)
 	if p.TokensPerSecond > 0 && p.BurstTokens < p.TokensPerSecond {
-		config.Report(sl, p.BurstTokens, "burst_tokens", "BurstTokens",
+		config.ReportError(sl, p.BurstTokens, "burst_tokens", "BurstTokens",
 			"must be at least tokens_per_second, or a limit of one second can't be used up")
 	}
 	if p.MaxTimeout == 0 {
 		return
 	}
 	if p.DefaultTimeout > p.MaxTimeout {
-		config.Report(sl, p.DefaultTimeout, "default_timeout", "DefaultTimeout", "must be at most max_timeout")
+		config.ReportError(sl, p.DefaultTimeout, "default_timeout", "DefaultTimeout", "must be at most max_timeout")
 	}
 	for i, class := range p.Classes {
 		if class.Timeout > p.MaxTimeout {
 			key := fmt.Sprintf("service_classes[%d].timeout", i)
-			config.Report(sl, class.Timeout, key, key, "must be at most max_timeout")
+			config.ReportError(sl, class.Timeout, key, key, "must be at most max_timeout")
 		}
 	}
 }
--- a/internal/ctl/manifest.go
+++ b/internal/ctl/manifest.go
@@ -27,7 +27,7 @@
 // beginning with the file, and matches ErrManifest.
 func readManifests(paths []string, stdin io.Reader) ([]declared.Decoded, error) {
 	var out []declared.Decoded
-	var faults config.Faults
+	var faults config.FieldErrors
 	from := make(map[[2]string]string) // file by kind and name
 	for _, p := range paths {
 		files, err := expand(p)
@@ -36,8 +36,8 @@
 		}
 		for _, f := range files {
 			objects, err := readFile(f, stdin)
-			if found := config.FaultsOf(err); found != nil {
-				faults = append(faults, found.Under(label(f))...)
+			if found := config.FieldErrorsOf(err); found != nil {
+				faults = append(faults, found.WithPrefix(label(f))...)
 				continue
 			}
 			if err != nil {
@@ -55,12 +55,12 @@
 
 // repeated finds objects that stand in an earlier file too: which value won
 // would depend on the order of files.
-func repeated(objects []declared.Decoded, file string, from map[[2]string]string) config.Faults {
-	var faults config.Faults
+func repeated(objects []declared.Decoded, file string, from map[[2]string]string) config.FieldErrors {
+	var faults config.FieldErrors
 	for _, o := range objects {
 		id := [2]string{o.Kind, o.Name}
 		if first, ok := from[id]; ok {
-			faults = append(faults, config.Fault{Path: label(file), Message: "repeats " + o.Kind + " " + o.Name + " of " + first})
+			faults = append(faults, config.FieldError{Path: label(file), Message: "repeats " + o.Kind + " " + o.Name + " of " + first})
 		}
 		from[id] = file
 	}
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -65,7 +65,7 @@
 	// In production a violated invariant is counted and logged; going on is
 	// better than dropping every request in progress.
 	invariant.SetPanic(false)
-	invariant.OnViolation(func(name, detail string) {
+	invariant.SetViolationHandler(func(name, detail string) {
 		log.WithField("invariant", name).Error(detail)
 	})
 	node.LimitGarbage()
@@ -162,19 +162,19 @@
 		RetryRatio:       node.RetryRatio(s.Entry.RetryBudget),
 		Store:            store,
 		Limits: entry.Limits{
-			MaxBodyBytes:         limits.BodyBytes,
-			MaxHeaderBytes:       limits.HeaderBytes,
-			MaxInProgress:        int64(limits.Running) + int64(limits.Queued),
-			MaxPromptTokens:      limits.PromptTokens,
+			MaxBodyBytes:         limits.MaxBodyBytes,
+			MaxHeaderBytes:       limits.MaxHeaderBytes,
+			MaxInProgress:        int64(limits.MaxRunning) + int64(limits.MaxQueued),
+			MaxPromptTokens:      limits.MaxPromptTokens,
 			DefaultMaxTokens:     limits.DefaultMaxTokens,
 			MaxTokens:            limits.MaxTokens,
-			TokensPerGroupMember: limits.SpreadTokens,
+			TokensPerGroupMember: limits.TokensPerGroupMember,
 			HeaderTimeout:        time.Duration(timeouts.ReadHeader),
 			ReadTimeout:          time.Duration(timeouts.ReadBody),
 			WriteTimeout:         time.Duration(timeouts.WriteStall),
 			IdleTimeout:          time.Duration(timeouts.Idle),
 			DefaultTimeout:       time.Duration(timeouts.Request),
-			MaxTimeout:           time.Duration(timeouts.RequestMax),
+			MaxTimeout:           time.Duration(timeouts.MaxRequest),
 		},
 		Log:     log,
 		Metrics: r,
@@ -190,7 +190,7 @@
 			Zone:          s.Zone,
 			Region:        s.Region,
 			Pool:          a.Pool,
-			Service:       a.Service,
+			Service:       a.PlainService,
 			Models:        a.Models,
 			Adapters:      a.Adapters,
 			Role:          a.Role,
--- a/internal/dev/rollout_test.go
+++ b/internal/dev/rollout_test.go
@@ -86,7 +86,7 @@
 			}
 		}
 		for _, c := range s.Conditions {
-			if c.Type == rollout.Converged && c.Status && s.Models[0].Current == 4 {
+			if c.Type == rollout.ConditionConverged && c.Status && s.Models[0].Current == 4 {
 				return
 			}
 		}
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -84,7 +84,7 @@
 		book:        quarantine.NewTracker(quarantine.DefaultOptions),
 		changed:     make(chan struct{}, 1),
 	}
-	invariant.Export(cfg.Metrics)
+	invariant.RegisterMetrics(cfg.Metrics)
 	exportProcess(cfg.Metrics)
 	for _, step := range []func() error{n.listen, n.bindReports, n.startAgent, n.serveAdmin, n.serveEntries} {
 		if err := step(); err != nil {
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -113,7 +113,7 @@
 			Incarnation: uint64(time.Now().UnixMilli()),
 		},
 	}
-	invariant.Export(cfg.Metrics)
+	invariant.RegisterMetrics(cfg.Metrics)
 	exportProcess(cfg.Metrics)
 	steps := []func() error{n.listen, n.startMembership, n.startClaims, n.serveCallers, n.serveAdmin, n.servePeers}
 	for _, step := range steps {
--- a/internal/node/rollout.go
+++ b/internal/node/rollout.go
@@ -155,15 +155,15 @@
 	defer cancel()
 	asking.Go(func() { servers.ask(ctx) })
 	return rollout.NewReconciler(rollout.Config{
-		Pool:     pool,
-		Lease:    held,
-		State:    r.node.catalog.State,
-		Replicas: servers.replicas,
-		Orderer:  r.node.dialer,
-		Store:    r.node.cfg.Store,
-		Options:  rollout.Options{Settle: settleTime(len(r.node.entryNames()))},
-		Log:      r.node.tasks.log.WithField("pool", pool),
-		Metrics:  r.node.cfg.Metrics,
+		Pool:        pool,
+		Lease:       held,
+		State:       r.node.catalog.State,
+		Replicas:    servers.replicas,
+		OrderClient: r.node.dialer,
+		Store:       r.node.cfg.Store,
+		Options:     rollout.Options{MaxReportLag: settleTime(len(r.node.entryNames()))},
+		Log:         r.node.tasks.log.WithField("pool", pool),
+		Metrics:     r.node.cfg.Metrics,
 	}).Run(ctx)
 }
 
--- a/internal/node/rollout_servers.go
+++ b/internal/node/rollout_servers.go
@@ -136,7 +136,7 @@
 			row.State = backend.StateSuspect
 		}
 		t.names = append(t.names, row.Name)
-		if r, ok := rollout.ReplicaOf(&row); ok {
+		if r, ok := rollout.ReplicaFromRow(&row); ok {
 			t.replicas = append(t.replicas, r)
 		}
 	}
@@ -158,7 +158,7 @@
 			continue
 		}
 		seen[rows[i].Name] = true
-		if r, ok := rollout.ReplicaOf(&rows[i]); ok {
+		if r, ok := rollout.ReplicaFromRow(&rows[i]); ok {
 			list = append(list, r)
 		}
 	}
--- a/internal/standin/engine/broken_test.go
+++ b/internal/standin/engine/broken_test.go
@@ -9,7 +9,7 @@
 // The invariant of the package notices memory beyond the engine's. The scheduler has no
 // server, whose loop would plan a step beside the test.
 func TestBrokenStatesAreNoticed(t *testing.T) {
-	invarianttest.Violates(t, "standin_engine_memory", func() {
+	invarianttest.ExpectViolation(t, "standin_engine_memory", func() {
 		stepper(Config{MemoryTokens: 100}).take(101)
 	})
 }
--- a/invariant/example_test.go
+++ b/invariant/example_test.go
@@ -12,8 +12,8 @@
 func Example() {
 	invariant.SetPanic(false)
 	defer invariant.SetPanic(true)
-	invariant.OnViolation(func(name, detail string) { fmt.Println(name+":", detail) })
-	defer invariant.OnViolation(nil)
+	invariant.SetViolationHandler(func(name, detail string) { fmt.Println(name+":", detail) })
+	defer invariant.SetViolationHandler(nil)
 
 	for _, left := range []int{0, 2} {
 		balanced.Check(left == 0, "%d left", left)
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -55,8 +55,8 @@
 // SetPanic makes violations panic (tests, dev) or only count (production).
 func SetPanic(on bool) { panicking.Store(on) }
 
-// OnViolation sets a function that is told of each violation, for the log.
-func OnViolation(f func(name, detail string)) {
+// SetViolationHandler sets a function that is told of each violation, for the log.
+func SetViolationHandler(f func(name, detail string)) {
 	mu.Lock()
 	defer mu.Unlock()
 	onBreak = f
@@ -95,9 +95,9 @@
 	return out
 }
 
-// Export registers gauges invariant.NAME.checked and .violated for every
+// RegisterMetrics registers gauges invariant.NAME.checked and .violated for every
 // invariant known so far.
-func Export(r metrics.Registry) {
+func RegisterMetrics(r metrics.Registry) {
 	mu.Lock()
 	defer mu.Unlock()
 	for name, iv := range all {
--- a/invariant/invarianttest/violates.go
+++ b/invariant/invarianttest/violates.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// Violates calls f, which breaks what an invariant checks, and fails the test
+// ExpectViolation calls f, which breaks what an invariant checks, and fails the test
 // unless that invariant noticed. Violations must panic, as they do in tests.
-func Violates(t testing.TB, name string, f func()) {
+func ExpectViolation(t testing.TB, name string, f func()) {
 	t.Helper()
 	defer func() {
 		t.Helper()
--- a/lease/broken_test.go
+++ b/lease/broken_test.go
@@ -8,7 +8,7 @@
 
 // The invariant of the package notices a fence that does not rise.
 func TestBrokenStatesAreNoticed(t *testing.T) {
-	invarianttest.Violates(t, "lease.fence_rises", func() {
+	invarianttest.ExpectViolation(t, "lease.fence_rises", func() {
 		m := NewManager(Config{})
 		m.checkFence("orders", 3)
 		m.checkFence("orders", 3)
--- a/rollout/action.go
+++ b/rollout/action.go
@@ -12,9 +12,9 @@
 
 // Verbs of an Action, as agents and engines know them.
 const (
-	Load   Verb = "load"
-	Unload Verb = "unload"
-	Role   Verb = "role"
+	VerbLoad    Verb = "load"
+	VerbUnload  Verb = "unload"
+	VerbSetRole Verb = "role"
 )
 
 // Action is one order to one engine. With Adapter set it is for that adapter of
@@ -62,12 +62,12 @@
 func (a *Action) begun(r *Replica) {
 	r.Busy = true
 	switch a.Verb {
-	case Load:
+	case VerbLoad:
 		r.Loading = a.Name()
 		r.Serving = drop(r.Serving, a.Name())
-	case Unload:
+	case VerbUnload:
 		r.Serving = drop(r.Serving, a.Name())
-	case Role:
+	case VerbSetRole:
 		r.Serving = nil
 	}
 }
@@ -76,17 +76,17 @@
 func (a *Action) done(r *Replica) {
 	name := a.Name()
 	switch a.Verb {
-	case Load:
+	case VerbLoad:
 		r.Weights = append(dropWeights(r.Weights, name),
 			backend.Weights{Name: name, Version: backend.VersionKey(a.Version), Adapter: a.Adapter != ""})
 		r.Serving = append(drop(r.Serving, name), name)
 		if r.Loading == name {
 			r.Loading = ""
 		}
-	case Unload:
+	case VerbUnload:
 		r.Weights = dropWeights(r.Weights, name)
 		r.Serving = drop(r.Serving, name)
-	case Role:
+	case VerbSetRole:
 		r.Role = a.Role
 	}
 }
--- a/rollout/place.go
+++ b/rollout/place.go
@@ -162,7 +162,7 @@
 		cmp.Compare(len(p.targets[i].models), len(p.targets[j].models)),
 		compareBool(a.hasModel(w.model.Name), b.hasModel(w.model.Name)),
 		compareBool(a.Role == w.role, b.Role == w.role),
-		compareBool(!a.Silent, !b.Silent),
+		compareBool(!a.Unresponsive, !b.Unresponsive),
 		cmp.Compare(a.Name, b.Name),
 	) < 0
 }
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -12,13 +12,13 @@
 // serving while others are replaced.
 const DefaultMinServing = 0.75
 
-// Result is what Plan found.
-type Result struct {
-	Actions []Action      // to begin now
-	Models  []ModelStatus // in the order of the ModelPool
-	Differ  int           // engines that are not yet as they shall be
-	Missing int           // replicas without an engine
-	Loading int           // engines that load from the weight store
+// PlanResult is what Plan found.
+type PlanResult struct {
+	Actions  []Action      // to begin now
+	Models   []ModelStatus // in the order of the ModelPool
+	Outdated int           // engines that are not yet as they shall be
+	Unplaced int           // replicas without an engine
+	Loading  int           // engines that load from the weight store
 }
 
 // ModelStatus counts the replicas of a model.
@@ -32,7 +32,7 @@
 
 // Plan returns the orders that may begin now, which bring the engines nearer to
 // what the pool declares. minServing is a share from 0 to 1.
-func Plan(pool *declared.ModelPool, replicas []Replica, minServing float64) Result {
+func Plan(pool *declared.ModelPool, replicas []Replica, minServing float64) PlanResult {
 	p := &planner{placement: place(pool, replicas), slots: pool.WeightLoads, stoppable: map[string]int{}}
 	for i := range replicas {
 		if replicas[i].Loading != "" {
@@ -40,7 +40,7 @@
 			p.result.Loading++
 		}
 	}
-	p.result.Missing = p.missing
+	p.result.Unplaced = p.missing
 	for i := range pool.Models {
 		p.count(&pool.Models[i], minServing)
 	}
@@ -55,7 +55,7 @@
 	slots     int            // free places at the weight store
 	stoppable map[string]int // replicas of each model that may stop serving now
 	engines   []engineSteps
-	result    Result
+	result    PlanResult
 }
 
 // engineSteps are the steps that one engine may take next, the preferred first.
@@ -99,8 +99,8 @@
 		if len(steps) == 0 {
 			continue
 		}
-		p.result.Differ++
-		if r.Busy || r.Silent || r.Loading != "" {
+		p.result.Outdated++
+		if r.Busy || r.Unresponsive || r.Loading != "" {
 			continue
 		}
 		for j := range steps {
@@ -117,7 +117,7 @@
 	out := p.unloads(r, t)
 	extra := len(out) > 0
 	if t.role != "" && r.Role != t.role {
-		out = append(out, step{Action: Action{Verb: Role, Role: t.role}, stops: p.modelsServed(r)})
+		out = append(out, step{Action: Action{Verb: VerbSetRole, Role: t.role}, stops: p.modelsServed(r)})
 	}
 	for _, m := range t.models {
 		if !r.current(m.Name, m.Version) && (!extra || r.hasModel(m.Name)) {
@@ -132,7 +132,7 @@
 		for i := range m.Adapters {
 			if a := &m.Adapters[i]; !r.current(a.Name, a.Version) {
 				out = append(out, step{
-					Action: Action{Verb: Load, Model: m.Name, Adapter: a.Name, Version: a.Version, Source: a.Source},
+					Action: Action{Verb: VerbLoad, Model: m.Name, Adapter: a.Name, Version: a.Version, Source: a.Source},
 					need:   1,
 				})
 			}
@@ -150,9 +150,9 @@
 	})
 	var out engineSteps
 	for _, w := range extra {
-		s := step{Action: Action{Verb: Unload, Model: w.Name}}
+		s := step{Action: Action{Verb: VerbUnload, Model: w.Name}}
 		if w.Adapter {
-			s.Action = Action{Verb: Unload, Adapter: w.Name}
+			s.Action = Action{Verb: VerbUnload, Adapter: w.Name}
 		} else if p.declares(w.Name) && r.serves(w.Name) {
 			s.stops = []string{w.Name}
 		}
@@ -209,7 +209,7 @@
 }
 
 func (p *planner) loadModel(r *Replica, m *declared.Model) step {
-	s := step{Action: Action{Verb: Load, Model: m.Name, Version: m.Version, Source: m.Source}}
+	s := step{Action: Action{Verb: VerbLoad, Model: m.Name, Version: m.Version, Source: m.Source}}
 	if r.serves(m.Name) {
 		s.stops = []string{m.Name}
 	}
@@ -246,12 +246,12 @@
 // whose new role is the least filled: a pool that splits into prefill and decode
 // needs both.
 func (p *planner) pick(roles map[backend.Role]int) int {
-	if p.engines[0][0].Verb != Role {
+	if p.engines[0][0].Verb != VerbSetRole {
 		return 0
 	}
 	best := 0
 	for i, steps := range p.engines {
-		if steps[0].Verb == Role && roles[steps[0].Role] < roles[p.engines[best][0].Role] {
+		if steps[0].Verb == VerbSetRole && roles[steps[0].Role] < roles[p.engines[best][0].Role] {
 			best = i
 		}
 	}
@@ -268,7 +268,7 @@
 }
 
 func (p *planner) allowed(s step) bool {
-	if s.Verb == Load && p.slots <= 0 {
+	if s.Verb == VerbLoad && p.slots <= 0 {
 		return false
 	}
 	return !slices.ContainsFunc(s.stops, func(model string) bool { return p.stoppable[model] <= 0 })
@@ -279,9 +279,9 @@
 		p.stoppable[model]--
 	}
 	switch s.Verb {
-	case Load:
+	case VerbLoad:
 		p.slots--
-	case Role:
+	case VerbSetRole:
 		roles[s.Role]++
 	}
 	p.result.Actions = append(p.result.Actions, s.Action)
--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -46,7 +46,7 @@
 			}
 			a.begun(&during[at])
 			a.done(&replicas[at])
-			if a.Verb == Load {
+			if a.Verb == VerbLoad {
 				loads++
 			}
 		}
@@ -55,11 +55,11 @@
 		}
 		check(during)
 		orders += len(plan.Actions)
-		if plan.Differ == 0 {
+		if plan.Outdated == 0 {
 			return orders
 		}
 		if len(plan.Actions) == 0 {
-			t.Fatalf("stuck with %d engines that differ: %+v", plan.Differ, replicas)
+			t.Fatalf("stuck with %d engines that differ: %+v", plan.Outdated, replicas)
 		}
 	}
 	t.Fatalf("no end after %d orders", orders)
@@ -133,7 +133,7 @@
 		t.Errorf("%d orders, want 1", orders)
 	}
 	silent := slices.IndexFunc(replicas, func(r Replica) bool { return r.serves("m") })
-	replicas[silent].Silent = true
+	replicas[silent].Unresponsive = true
 	if plan := Plan(p, replicas, DefaultMinServing); len(plan.Actions) > 0 {
 		t.Errorf("an engine that is silent for a moment loses its place: %+v", plan.Actions)
 	}
@@ -202,8 +202,8 @@
 		}
 		missing += max(0, m.Replicas.Total()-there)
 	}
-	if missing > plan.Missing {
-		t.Fatalf("%d replicas are missing, the plan says %d", missing, plan.Missing)
+	if missing > plan.Unplaced {
+		t.Fatalf("%d replicas are missing, the plan says %d", missing, plan.Unplaced)
 	}
 }
 
--- a/rollout/reconciler.go
+++ b/rollout/reconciler.go
@@ -18,22 +18,22 @@
 // LeaseName returns the name of the lease whose holder reconciles a pool.
 func LeaseName(pool string) string { return "rollout/" + pool }
 
-// Orderer gives an order to the agent at an address; wire.Dialer is one.
-type Orderer interface {
+// OrderClient gives an order to the agent at an address; wire.Dialer is one.
+type OrderClient interface {
 	Order(ctx context.Context, addr string, in *wirepb.OrderRequest) (*wirepb.OrderResponse, error)
 }
 
 // Options of a Reconciler. Zero fields take the defaults.
 type Options struct {
-	MinServing     float64       // share of wanted replicas that go on serving; default 0.75
-	LookInterval   time.Duration // between looks at the engines; default 500 ms
-	Settle         time.Duration // a report may lag an order's answer by so much; default 10 s
-	OrderTimeout   time.Duration // of one order, the drain before it included; default 2.5 min
-	Quiet          time.Duration // a pool has to be unchanged for so long; default 3 s
-	QuietMax       time.Duration // but it is waited no longer than this; default 10 s
-	RetryAfter     time.Duration // after a failed order, doubled up to RetryMax; default 1 s
-	RetryMax       time.Duration // default 30 s
-	StatusInterval time.Duration // least time between two writes of the status; default 2 s
+	MinServing       float64       // share of wanted replicas that go on serving; default 0.75
+	ResyncInterval   time.Duration // between looks at the engines; default 500 ms
+	MaxReportLag     time.Duration // a report may lag an order's answer by so much; default 10 s
+	OrderTimeout     time.Duration // of one order, the drain before it included; default 2.5 min
+	DebounceDelay    time.Duration // a pool has to be unchanged for so long; default 3 s
+	MaxDebounceDelay time.Duration // but it is waited no longer than this; default 10 s
+	RetryDelay       time.Duration // after a failed order, doubled up to RetryMax; default 1 s
+	MaxRetryDelay    time.Duration // default 30 s
+	StatusInterval   time.Duration // least time between two writes of the status; default 2 s
 }
 
 // Defaults of Options.
@@ -59,13 +59,13 @@
 	if o.MinServing == 0 {
 		o.MinServing = DefaultMinServing
 	}
-	setDefault(&o.LookInterval, defaultLookInterval)
-	setDefault(&o.Settle, defaultSettle)
+	setDefault(&o.ResyncInterval, defaultLookInterval)
+	setDefault(&o.MaxReportLag, defaultSettle)
 	setDefault(&o.OrderTimeout, defaultOrderTimeout)
-	setDefault(&o.Quiet, defaultQuiet)
-	setDefault(&o.QuietMax, defaultQuietMax)
-	setDefault(&o.RetryAfter, defaultRetryAfter)
-	setDefault(&o.RetryMax, defaultRetryMax)
+	setDefault(&o.DebounceDelay, defaultQuiet)
+	setDefault(&o.MaxDebounceDelay, defaultQuietMax)
+	setDefault(&o.RetryDelay, defaultRetryAfter)
+	setDefault(&o.MaxRetryDelay, defaultRetryMax)
 	setDefault(&o.StatusInterval, defaultStatusInterval)
 	return o
 }
@@ -84,12 +84,12 @@
 	// Replicas returns the pool's engines as observed now. complete is false
 	// while some may be there that aren't known yet: with a part of them only,
 	// the replicas of the rest would be placed anew.
-	Replicas func() (list []Replica, complete bool)
-	Orderer  Orderer
-	Store    objectapi.Store // for the status
-	Options  Options
-	Log      logrus.FieldLogger
-	Metrics  metrics.Registry
+	Replicas    func() (list []Replica, complete bool)
+	OrderClient OrderClient
+	Store       objectapi.Store // for the status
+	Options     Options
+	Log         logrus.FieldLogger
+	Metrics     metrics.Registry
 }
 
 // Reconciler works for one pool under one term of its lease.
@@ -148,7 +148,7 @@
 // they were given in time, and the engines show them to the next holder.
 func (r *Reconciler) Run(ctx context.Context) error {
 	defer r.orders.Wait()
-	look := time.NewTicker(r.cfg.Options.LookInterval)
+	look := time.NewTicker(r.cfg.Options.ResyncInterval)
 	defer look.Stop()
 	var statusAt time.Time
 	for {
@@ -192,14 +192,14 @@
 	r.overlay(now, replicas)
 	failure := r.failures(replicas)
 	r.mu.Unlock()
-	var plan Result
+	var plan PlanResult
 	if pool != nil && !complete {
 		return Status{ObservedVersion: version, Conditions: lookingConditions()}
 	}
 	if pool != nil {
 		plan = Plan(pool, replicas, r.cfg.Options.MinServing)
 	}
-	if r.quiet.over(now, version, r.cfg.Options.Quiet, r.cfg.Options.QuietMax) {
+	if r.quiet.over(now, version, r.cfg.Options.DebounceDelay, r.cfg.Options.MaxDebounceDelay) {
 		for i := range plan.Actions {
 			r.begin(ctx, plan.Actions[i])
 		}
@@ -243,7 +243,7 @@
 		if e == nil {
 			continue
 		}
-		for len(e.recent) > 0 && now.Sub(e.recent[0].at) > r.cfg.Options.Settle {
+		for len(e.recent) > 0 && now.Sub(e.recent[0].at) > r.cfg.Options.MaxReportLag {
 			e.recent = e.recent[1:]
 		}
 		for j := range e.recent {
@@ -293,7 +293,7 @@
 	r.orders.Go(func() {
 		ctx, cancel := context.WithTimeout(ctx, r.cfg.Options.OrderTimeout)
 		defer cancel()
-		out, err := r.cfg.Orderer.Order(ctx, a.Address, a.message(r.cfg.Lease.Name(), r.cfg.Lease.Fence()))
+		out, err := r.cfg.OrderClient.Order(ctx, a.Address, a.message(r.cfg.Lease.Name(), r.cfg.Lease.Fence()))
 		r.end(e, a, out, err)
 		select {
 		case r.wake <- struct{}{}:
@@ -324,7 +324,7 @@
 		e.failure = out.GetDetail()
 	}
 	r.failed.Inc(1)
-	e.backoff = min(max(2*e.backoff, r.cfg.Options.RetryAfter), r.cfg.Options.RetryMax)
+	e.backoff = min(max(2*e.backoff, r.cfg.Options.RetryDelay), r.cfg.Options.MaxRetryDelay)
 	e.retryAt = now.Add(e.backoff)
 	r.cfg.Log.WithField("server", a.Server).WithField("order", a.id()).Debug("order failed: " + e.failure)
 }
--- a/rollout/reconciler_test.go
+++ b/rollout/reconciler_test.go
@@ -39,7 +39,7 @@
 		}
 		s := w.status("p")
 		want := ModelStatus{Name: "m", Version: "1", Wanted: 4, Serving: 4, Current: 4}
-		if len(s.Models) != 1 || s.Models[0] != want || !s.condition(Converged).Status || s.ObservedVersion == 0 {
+		if len(s.Models) != 1 || s.Models[0] != want || !s.condition(ConditionConverged).Status || s.ObservedVersion == 0 {
 			t.Errorf("%+v", s)
 		}
 		before := w.store.Counts().Writes()
@@ -58,13 +58,13 @@
 	inWorld(t, func(ctx context.Context, w *world) {
 		w.start(ctx, "entry-1", "p")
 		time.Sleep(30 * time.Second)
-		if s := w.status("p"); s.condition(Declared).Status || s.condition(Declared).Reason != "NotDeclared" {
+		if s := w.status("p"); s.condition(ConditionDeclared).Status || s.condition(ConditionDeclared).Reason != "NotDeclared" {
 			t.Errorf("%+v", s)
 		}
 		w.apply(declared.KindModelPool, "p", poolSpec("1", 2))
 		settle()
 		s := w.status("p")
-		if !s.condition(Declared).Status || s.condition(Placed).Reason != "NoBackendServers" {
+		if !s.condition(ConditionDeclared).Status || s.condition(ConditionPlaced).Reason != "NoBackendServers" {
 			t.Errorf("%+v", s)
 		}
 		w.mu.Lock()
@@ -106,7 +106,7 @@
 		if n := after.loads - before.loads; n != 12 {
 			t.Errorf("%d loads for version 3, want 12", n)
 		}
-		if s := w.status("p"); s.Models[0].Version != "3" || !s.condition(Converged).Status {
+		if s := w.status("p"); s.Models[0].Version != "3" || !s.condition(ConditionConverged).Status {
 			t.Errorf("%+v", s)
 		}
 	})
--- a/rollout/replica.go
+++ b/rollout/replica.go
@@ -15,28 +15,28 @@
 	Weights []backend.Weights // loaded, in no order
 	Serving []string          // of these, what takes new requests
 	Loading string            // model or adapter that it loads now; empty for none
-	// Silent engines keep their place and get no orders.
-	Silent bool
+	// Unresponsive engines keep their place and get no orders.
+	Unresponsive bool
 	// Busy engines get no order now: one is under way, or the last one failed
 	// a moment ago.
 	Busy bool
 }
 
-// ReplicaOf returns what an entry's row shows; ok is false for a server that is
+// ReplicaFromRow returns what an entry's row shows; ok is false for a server that is
 // no engine, is leaving or is dead.
-func ReplicaOf(row *backend.Row) (r Replica, ok bool) {
+func ReplicaFromRow(row *backend.Row) (r Replica, ok bool) {
 	if row.Service || row.Load.Draining || row.State == backend.StateLeaving || row.State == backend.StateDead {
 		return Replica{}, false
 	}
 	return Replica{
-		Name:    row.Name,
-		Zone:    row.Zone,
-		Address: row.RPCAddress,
-		Role:    row.Role,
-		Weights: slices.Clone(row.Weights),
-		Serving: slices.Concat(row.Models, row.Adapters),
-		Loading: row.Loading,
-		Silent:  row.State != backend.StateLive,
+		Name:         row.Name,
+		Zone:         row.Zone,
+		Address:      row.RPCAddress,
+		Role:         row.Role,
+		Weights:      slices.Clone(row.Weights),
+		Serving:      slices.Concat(row.Models, row.Adapters),
+		Loading:      row.Loading,
+		Unresponsive: row.State != backend.StateLive,
 	}, true
 }
 
--- a/rollout/status.go
+++ b/rollout/status.go
@@ -22,15 +22,15 @@
 
 // Types of a Condition.
 const (
-	// Declared: there is a ModelPool of that name. False where a
+	// ConditionDeclared: there is a ModelPool of that name. False where a
 	// BackendServerSet names a pool that isn't there, or not yet.
-	Declared = "Declared"
-	// Placed: every replica has an engine.
-	Placed = "Placed"
-	// Converged: every engine is as it shall be.
-	Converged = "Converged"
-	// Accepting: the agents carry out orders.
-	Accepting = "Accepting"
+	ConditionDeclared = "Declared"
+	// ConditionPlaced: every replica has an engine.
+	ConditionPlaced = "Placed"
+	// ConditionConverged: every engine is as it shall be.
+	ConditionConverged = "Converged"
+	// ConditionAccepting: the agents carry out orders.
+	ConditionAccepting = "Accepting"
 )
 
 // Condition is one statement on a pool. Since is when Status last changed, by
@@ -52,38 +52,38 @@
 }
 
 // conditions says in words what a plan found.
-func conditions(pool *declared.ModelPool, engines int, r *Result, failure string) []Condition {
+func conditions(pool *declared.ModelPool, engines int, r *PlanResult, failure string) []Condition {
 	if pool == nil {
-		return []Condition{{Type: Declared, Reason: "NotDeclared", Message: "a BackendServerSet names this pool; no ModelPool does"}}
+		return []Condition{{Type: ConditionDeclared, Reason: "NotDeclared", Message: "a BackendServerSet names this pool; no ModelPool does"}}
 	}
-	placed := Condition{Type: Placed, Status: true, Reason: "AllPlaced"}
+	placed := Condition{Type: ConditionPlaced, Status: true, Reason: "AllPlaced"}
 	switch {
 	case engines == 0:
-		placed = Condition{Type: Placed, Reason: "NoBackendServers", Message: "no engine of this pool has reported"}
-	case r.Missing > 0:
-		placed = Condition{Type: Placed, Reason: "TooFewBackendServers",
-			Message: fmt.Sprintf("%d replicas have no engine; %d engines are there", r.Missing, engines)}
+		placed = Condition{Type: ConditionPlaced, Reason: "NoBackendServers", Message: "no engine of this pool has reported"}
+	case r.Unplaced > 0:
+		placed = Condition{Type: ConditionPlaced, Reason: "TooFewBackendServers",
+			Message: fmt.Sprintf("%d replicas have no engine; %d engines are there", r.Unplaced, engines)}
 	}
-	converged := Condition{Type: Converged, Status: true, Reason: "AllCurrent"}
+	converged := Condition{Type: ConditionConverged, Status: true, Reason: "AllCurrent"}
 	switch {
-	case r.Differ > 0:
-		converged = Condition{Type: Converged, Reason: "Rolling",
-			Message: fmt.Sprintf("%d of %d engines differ, %d load", r.Differ, engines, r.Loading)}
+	case r.Outdated > 0:
+		converged = Condition{Type: ConditionConverged, Reason: "Rolling",
+			Message: fmt.Sprintf("%d of %d engines differ, %d load", r.Outdated, engines, r.Loading)}
 	case !placed.Status:
-		converged = Condition{Type: Converged, Reason: placed.Reason}
+		converged = Condition{Type: ConditionConverged, Reason: placed.Reason}
 	}
-	accepting := Condition{Type: Accepting, Status: true, Reason: "OrdersCarriedOut"}
+	accepting := Condition{Type: ConditionAccepting, Status: true, Reason: "OrdersCarriedOut"}
 	if failure != "" {
-		accepting = Condition{Type: Accepting, Reason: "OrdersFail", Message: failure}
+		accepting = Condition{Type: ConditionAccepting, Reason: "OrdersFail", Message: failure}
 	}
-	return []Condition{{Type: Declared, Status: true, Reason: "InForce"}, placed, converged, accepting}
+	return []Condition{{Type: ConditionDeclared, Status: true, Reason: "InForce"}, placed, converged, accepting}
 }
 
 // lookingConditions is what is said while not all engines are known.
 func lookingConditions() []Condition {
 	return []Condition{
-		{Type: Declared, Status: true, Reason: "InForce"},
-		{Type: Converged, Reason: "Looking", Message: "not all backend servers have been heard of"},
+		{Type: ConditionDeclared, Status: true, Reason: "InForce"},
+		{Type: ConditionConverged, Reason: "Looking", Message: "not all backend servers have been heard of"},
 	}
 }
 
--- a/rollout/world_test.go
+++ b/rollout/world_test.go
@@ -101,7 +101,7 @@
 	return out
 }
 
-// Order implements Orderer as an agent does.
+// Order implements OrderClient as an agent does.
 func (w *world) Order(ctx context.Context, addr string, in *wirepb.OrderRequest) (*wirepb.OrderResponse, error) {
 	w.mu.Lock()
 	e := w.engines[addr]
@@ -133,12 +133,12 @@
 func (w *world) carryOut(e *fakeEngine, in *wirepb.OrderRequest) {
 	a := Action{Verb: Verb(in.Action), Model: in.Model, Adapter: in.Adapter, Version: in.Version, Role: backend.Role(in.Role)}
 	w.mu.Lock()
-	so := a.Verb == Load && e.now.current(a.Name(), a.Version)
+	so := a.Verb == VerbLoad && e.now.current(a.Name(), a.Version)
 	w.mu.Unlock()
 	if so {
 		return
 	}
-	if a.Verb == Load {
+	if a.Verb == VerbLoad {
 		w.countLoad(e.pool, 1)
 		w.change(e, func(r *Replica) {
 			r.Loading = a.Name()
@@ -196,7 +196,7 @@
 			return
 		}
 		_ = NewReconciler(Config{
-			Pool: pool, Lease: held, State: p.catalog.State, Orderer: p, Store: frozenStore{p.world.store, p}, Log: silent(),
+			Pool: pool, Lease: held, State: p.catalog.State, OrderClient: p, Store: frozenStore{p.world.store, p}, Log: silent(),
 			Replicas: func() ([]Replica, bool) { return p.world.replicas(pool), true },
 		}).Run(ctx)
 		_ = held.Release(context.Background())
@@ -237,7 +237,7 @@
 	}
 }
 
-// Order implements Orderer: what a frozen process was about to send goes out
+// Order implements OrderClient: what a frozen process was about to send goes out
 // when it thaws.
 func (p *process) Order(ctx context.Context, addr string, in *wirepb.OrderRequest) (*wirepb.OrderResponse, error) {
 	p.wait(true)
@@ -309,7 +309,7 @@
 	}
 	slices.SortFunc(list, func(a, b Replica) int { return compareBool(a.Name < b.Name, b.Name < a.Name) })
 	plan := Plan(spec.(*declared.ModelPool), list, DefaultMinServing)
-	return plan.Differ == 0 && plan.Missing == 0
+	return plan.Outdated == 0 && plan.Unplaced == 0
 }
 
 // tally is what the world counted so far.
--- a/settings/agent.go
+++ b/settings/agent.go
@@ -10,9 +10,9 @@
 // Agent is the settings of the agent beside one backend server. Pool, rates
 // and memory are what it says of the server until the server reports.
 type Agent struct {
-	Address string `json:"address" validate:"required,addrport"` // of the engine or plain service
-	Pool    string `json:"pool" validate:"required,name"`        // ModelPool, or the service's name
-	Service bool   `json:"service"`                              // a plain service, not an engine
+	Address      string `json:"address" validate:"required,addrport"` // of the engine or plain service
+	Pool         string `json:"pool" validate:"required,name"`        // ModelPool, or the service's name
+	PlainService bool   `json:"service"`                              // a plain service, not an engine
 	// ChecksFencing says that the server itself refuses an order with an old
 	// fencing number; else the agent alone does.
 	ChecksFencing bool            `json:"checks_fencing"`
@@ -28,16 +28,16 @@
 	Seeds []string `json:"seeds" validate:"required,min=1,dive,addrport" distinct:"."`
 }
 
-func init() { config.RegisterStruct(checkAgent, Agent{}) }
+func init() { config.RegisterStructValidation(checkAgent, Agent{}) }
 
 // checkAgent wants of an engine what a plain service doesn't have.
 func checkAgent(sl validator.StructLevel) {
 	a := sl.Current().Interface().(Agent)
-	if a.Service {
+	if a.PlainService {
 		return
 	}
 	if len(a.Models) == 0 {
-		config.Report(sl, a.Models, "models", "Models", "is required of an engine")
+		config.ReportError(sl, a.Models, "models", "Models", "is required of an engine")
 	}
 	for _, rate := range []struct {
 		value      int64
@@ -48,7 +48,7 @@
 		{a.MemoryTokens, "memory_tokens", "MemoryTokens"},
 	} {
 		if rate.value == 0 {
-			config.Report(sl, rate.value, rate.key, rate.field, "is required of an engine")
+			config.ReportError(sl, rate.value, rate.key, rate.field, "is required of an engine")
 		}
 	}
 }
--- a/settings/defaults.go
+++ b/settings/defaults.go
@@ -21,30 +21,30 @@
 
 // Defaults of an entry.
 const (
-	// DefaultBodyBytes takes a million tokens of four bytes, four times over.
-	DefaultBodyBytes        = 16 << 20
-	DefaultHeaderBytes      = 64 << 10
-	DefaultPromptTokens     = 1_200_000
-	DefaultOutputTokens     = 256
-	DefaultMaxTokens        = 32 << 10
-	DefaultSpreadTokens     = 128_000
-	DefaultRunning          = 4000
-	DefaultQueued           = 4000
-	DefaultRequestTimeout   = 2 * time.Minute
-	DefaultRequestMax       = 30 * time.Minute
-	DefaultReadHeader       = 5 * time.Second
-	DefaultReadBody         = time.Minute
-	DefaultWriteStall       = 30 * time.Second
-	DefaultIdle             = 90 * time.Second
-	DefaultEntryDrain       = 30 * time.Minute
-	DefaultRetryBudget      = 0.1
-	DefaultUnconfirmedPeers = 0
-	DefaultUnconfirmedAfter = time.Minute
+	// DefaultMaxBodyBytes takes a million tokens of four bytes, four times over.
+	DefaultMaxBodyBytes         = 16 << 20
+	DefaultMaxHeaderBytes       = 64 << 10
+	DefaultMaxPromptTokens      = 1_200_000
+	DefaultOutputTokens         = 256
+	DefaultMaxTokens            = 32 << 10
+	DefaultTokensPerGroupMember = 128_000
+	DefaultMaxRunning           = 4000
+	DefaultMaxQueued            = 4000
+	DefaultRequestTimeout       = 2 * time.Minute
+	DefaultMaxRequestTimeout    = 30 * time.Minute
+	DefaultReadHeaderTimeout    = 5 * time.Second
+	DefaultReadBodyTimeout      = time.Minute
+	DefaultWriteStallTimeout    = 30 * time.Second
+	DefaultIdleTimeout          = 90 * time.Second
+	DefaultEntryDrain           = 30 * time.Minute
+	DefaultRetryBudget          = 0.1
+	DefaultUnconfirmedPeers     = 0
+	DefaultUnconfirmedAfter     = time.Minute
 )
 
 // Defaults of an agent.
 const (
-	DefaultRole        = backend.RoleMixed
+	DefaultAgentRole   = backend.RoleMixed
 	DefaultConcurrency = 256
 	DefaultAgentDrain  = 30 * time.Minute
 )
@@ -60,14 +60,14 @@
 	DefaultRoutineLines = 50
 	// A caller's connection: the limits are over what operators allow callers, so that
 	// no proper caller is cut.
-	DefaultGatewayHeader        = 64 << 10
+	DefaultGatewayHeaderBytes   = 64 << 10
 	DefaultGatewayHeaderTimeout = 10 * time.Second
-	DefaultGatewayIdle          = 2 * time.Minute
+	DefaultGatewayIdleTimeout   = 2 * time.Minute
 )
 
 func withDefaults(role Role) *Settings {
 	s := &Settings{
-		Platform: Store{
+		Platform: ObjectAPI{
 			CallTimeout:     config.Duration(DefaultCallTimeout),
 			ReadsPerSecond:  DefaultReadsPerSecond,
 			WritesPerSecond: DefaultWritesPerSecond,
@@ -80,7 +80,7 @@
 	case RoleGateway:
 		s.Gateway = defaultGateway()
 	case RoleAgent:
-		s.Agent = &Agent{Role: DefaultRole, Concurrency: DefaultConcurrency, Drain: config.Duration(DefaultAgentDrain)}
+		s.Agent = &Agent{Role: DefaultAgentRole, Concurrency: DefaultConcurrency, Drain: config.Duration(DefaultAgentDrain)}
 	}
 	return s
 }
@@ -88,18 +88,18 @@
 func defaultEntry() *Entry {
 	return &Entry{
 		Limits: Limits{
-			BodyBytes: DefaultBodyBytes, HeaderBytes: DefaultHeaderBytes,
-			Running: DefaultRunning, Queued: DefaultQueued,
-			PromptTokens: DefaultPromptTokens, DefaultMaxTokens: DefaultOutputTokens,
-			MaxTokens: DefaultMaxTokens, SpreadTokens: DefaultSpreadTokens,
+			MaxBodyBytes: DefaultMaxBodyBytes, MaxHeaderBytes: DefaultMaxHeaderBytes,
+			MaxRunning: DefaultMaxRunning, MaxQueued: DefaultMaxQueued,
+			MaxPromptTokens: DefaultMaxPromptTokens, DefaultMaxTokens: DefaultOutputTokens,
+			MaxTokens: DefaultMaxTokens, TokensPerGroupMember: DefaultTokensPerGroupMember,
 		},
 		Timeouts: Timeouts{
 			Request:    config.Duration(DefaultRequestTimeout),
-			RequestMax: config.Duration(DefaultRequestMax),
-			ReadHeader: config.Duration(DefaultReadHeader),
-			ReadBody:   config.Duration(DefaultReadBody),
-			WriteStall: config.Duration(DefaultWriteStall),
-			Idle:       config.Duration(DefaultIdle),
+			MaxRequest: config.Duration(DefaultMaxRequestTimeout),
+			ReadHeader: config.Duration(DefaultReadHeaderTimeout),
+			ReadBody:   config.Duration(DefaultReadBodyTimeout),
+			WriteStall: config.Duration(DefaultWriteStallTimeout),
+			Idle:       config.Duration(DefaultIdleTimeout),
 			Drain:      config.Duration(DefaultEntryDrain),
 		},
 		RetryBudget: DefaultRetryBudget,
@@ -123,9 +123,9 @@
 			BodiesBytes:        gateway.DefaultBodiesBytes,
 			BodyTimeout:        config.Duration(gateway.DefaultBodyTimeout),
 			WriteSlack:         config.Duration(gateway.DefaultWriteSlack),
-			HeaderBytes:        DefaultGatewayHeader,
+			HeaderBytes:        DefaultGatewayHeaderBytes,
 			HeaderTimeout:      config.Duration(DefaultGatewayHeaderTimeout),
-			IdleTimeout:        config.Duration(DefaultGatewayIdle),
+			IdleTimeout:        config.Duration(DefaultGatewayIdleTimeout),
 			RetryAfter:         config.Duration(gateway.DefaultRetryAfter),
 			StaleRetryAfter:    config.Duration(gateway.DefaultStaleRetryAfter),
 			PoisonRetryAfter:   config.Duration(gateway.DefaultPoisonRetryAfter),
--- a/settings/entry.go
+++ b/settings/entry.go
@@ -23,23 +23,23 @@
 
 // Limits bounds what an entry takes on.
 type Limits struct {
-	BodyBytes   int64 `json:"body_bytes" validate:"min=1024,max=33554432"` // agents take no more
-	HeaderBytes int   `json:"header_bytes" validate:"min=1024,max=1048576"`
-	Running     int   `json:"running" validate:"min=1,max=1000000"` // requests at a time
-	Queued      int   `json:"queued" validate:"min=0,max=1000000"`  // requests that wait
+	MaxBodyBytes   int64 `json:"body_bytes" validate:"min=1024,max=33554432"` // agents take no more
+	MaxHeaderBytes int   `json:"header_bytes" validate:"min=1024,max=1048576"`
+	MaxRunning     int   `json:"running" validate:"min=1,max=1000000"` // requests at a time
+	MaxQueued      int   `json:"queued" validate:"min=0,max=1000000"`  // requests that wait
 	// Tokens of one request: MaxTokens of output may be asked for, and
 	// DefaultMaxTokens are given where the caller asks for none.
-	PromptTokens     int64 `json:"prompt_tokens" validate:"min=1,max=100000000"`
+	MaxPromptTokens  int64 `json:"prompt_tokens" validate:"min=1,max=100000000"`
 	DefaultMaxTokens int64 `json:"default_max_tokens" validate:"min=1,max=10000000"`
 	MaxTokens        int64 `json:"max_tokens" validate:"min=1,max=10000000"`
-	// SpreadTokens: see TokensPerGroupMember of entry.Limits; -1 keeps groups as small as fit.
-	SpreadTokens int64 `json:"spread_tokens" validate:"min=-1,max=100000000,ne=0"`
+	// TokensPerGroupMember: see TokensPerGroupMember of entry.Limits; -1 keeps groups as small as fit.
+	TokensPerGroupMember int64 `json:"spread_tokens" validate:"min=-1,max=100000000,ne=0"`
 }
 
 // Timeouts of an entry.
 type Timeouts struct {
 	Request    config.Duration `json:"request" validate:"min=1ms,max=24h"`     // where caller and policy give none
-	RequestMax config.Duration `json:"request_max" validate:"min=1ms,max=24h"` // the most that a caller may ask for
+	MaxRequest config.Duration `json:"request_max" validate:"min=1ms,max=24h"` // the most that a caller may ask for
 	ReadHeader config.Duration `json:"read_header" validate:"min=1ms,max=1h"`
 	ReadBody   config.Duration `json:"read_body" validate:"min=1ms,max=1h"`
 	WriteStall config.Duration `json:"write_stall" validate:"min=1ms,max=1h"` // a caller that doesn't read
@@ -55,14 +55,14 @@
 }
 
 func init() {
-	config.RegisterStruct(func(sl validator.StructLevel) {
+	config.RegisterStructValidation(func(sl validator.StructLevel) {
 		if l := sl.Current().Interface().(Limits); l.DefaultMaxTokens > l.MaxTokens {
-			config.Report(sl, l.DefaultMaxTokens, "default_max_tokens", "DefaultMaxTokens", "must be at most max_tokens")
+			config.ReportError(sl, l.DefaultMaxTokens, "default_max_tokens", "DefaultMaxTokens", "must be at most max_tokens")
 		}
 	}, Limits{})
-	config.RegisterStruct(func(sl validator.StructLevel) {
-		if t := sl.Current().Interface().(Timeouts); t.Request > t.RequestMax {
-			config.Report(sl, t.Request, "request", "Request", "must be at most request_max")
+	config.RegisterStructValidation(func(sl validator.StructLevel) {
+		if t := sl.Current().Interface().(Timeouts); t.Request > t.MaxRequest {
+			config.ReportError(sl, t.Request, "request", "Request", "must be at most request_max")
 		}
 	}, Timeouts{})
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -23,16 +23,16 @@
 
 // Settings is the whole settings file of one process.
 type Settings struct {
-	Role     Role     `json:"role" validate:"required,oneof=entry agent gateway"`
-	Name     string   `json:"name" validate:"required,name"` // the VM's name
-	Zone     string   `json:"zone" validate:"required,name"`
-	Region   string   `json:"region" validate:"required,name"`
-	Listen   Listen   `json:"listen"`
-	Platform Store    `json:"platform"`
-	Log      Log      `json:"log"`
-	Entry    *Entry   `json:"entry,omitempty"`   // with role entry only
-	Agent    *Agent   `json:"agent,omitempty"`   // with role agent only
-	Gateway  *Gateway `json:"gateway,omitempty"` // with role gateway only
+	Role     Role      `json:"role" validate:"required,oneof=entry agent gateway"`
+	Name     string    `json:"name" validate:"required,name"` // the VM's name
+	Zone     string    `json:"zone" validate:"required,name"`
+	Region   string    `json:"region" validate:"required,name"`
+	Listen   Listen    `json:"listen"`
+	Platform ObjectAPI `json:"platform"`
+	Log      Log       `json:"log"`
+	Entry    *Entry    `json:"entry,omitempty"`   // with role entry only
+	Agent    *Agent    `json:"agent,omitempty"`   // with role agent only
+	Gateway  *Gateway  `json:"gateway,omitempty"` // with role gateway only
 }
 
 // Listen is the addresses that the process listens on, and by which others
@@ -45,8 +45,8 @@
 	Admin    string `json:"admin" validate:"required,addrport"` // metrics, health, readiness
 }
 
-// Store says how the process calls the platform's object API.
-type Store struct {
+// ObjectAPI says how the process calls the platform's object API.
+type ObjectAPI struct {
 	Address         string          `json:"address" validate:"required,http_url"`
 	CallTimeout     config.Duration `json:"call_timeout" validate:"min=10ms,max=1m"`
 	ReadsPerSecond  float64         `json:"reads_per_second" validate:"gt=0,lte=10000"`
@@ -60,7 +60,7 @@
 }
 
 // Load reads and checks a settings file. For bad contents the error lists every
-// fault (config.FaultsOf).
+// fault (config.FieldErrorsOf).
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -89,40 +89,40 @@
 	return head.Role
 }
 
-func init() { config.RegisterStruct(checkSettings, Settings{}) }
+func init() { config.RegisterStructValidation(checkSettings, Settings{}) }
 
 func checkSettings(sl validator.StructLevel) {
 	s := sl.Current().Interface().(Settings)
 	checkListen(sl, s)
 	if s.Role != RoleGateway && s.Gateway != nil {
-		config.Report(sl, s.Gateway, "gateway", "Gateway", "is for role gateway only")
+		config.ReportError(sl, s.Gateway, "gateway", "Gateway", "is for role gateway only")
 	}
 	if s.Role == RoleEntry && s.Listen.HTTP == "" {
-		config.Report(sl, s.Listen.HTTP, "listen.http", "Listen", "is required of an entry")
+		config.ReportError(sl, s.Listen.HTTP, "listen.http", "Listen", "is required of an entry")
 	}
 	if s.Role != RoleEntry && s.Entry != nil {
-		config.Report(sl, s.Entry, "entry", "Entry", "is for role entry only")
+		config.ReportError(sl, s.Entry, "entry", "Entry", "is for role entry only")
 	}
 	if s.Role != RoleAgent && s.Agent != nil {
-		config.Report(sl, s.Agent, "agent", "Agent", "is for role agent only")
+		config.ReportError(sl, s.Agent, "agent", "Agent", "is for role agent only")
 	}
 	if s.Role == RoleAgent && s.Listen.HTTP != "" {
-		config.Report(sl, s.Listen.HTTP, "listen.http", "Listen", "is for an entry only")
+		config.ReportError(sl, s.Listen.HTTP, "listen.http", "Listen", "is for an entry only")
 	}
 }
 
 // checkListen wants the addresses that a role needs.
 func checkListen(sl validator.StructLevel, s Settings) {
 	if s.Role != RoleGateway && s.Listen.RPC == "" {
-		config.Report(sl, s.Listen.RPC, "listen.rpc", "Listen", "is required")
+		config.ReportError(sl, s.Listen.RPC, "listen.rpc", "Listen", "is required")
 	}
 	if s.Role != RoleGateway && s.Listen.Ready != "" {
-		config.Report(sl, s.Listen.Ready, "listen.ready", "Listen", "is for a gateway only")
+		config.ReportError(sl, s.Listen.Ready, "listen.ready", "Listen", "is for a gateway only")
 	}
 	if s.Role == RoleGateway && s.Listen.HTTP == "" {
-		config.Report(sl, s.Listen.HTTP, "listen.http", "Listen", "is required of a gateway")
+		config.ReportError(sl, s.Listen.HTTP, "listen.http", "Listen", "is required of a gateway")
 	}
 	if s.Role == RoleGateway && s.Listen.Ready == "" {
-		config.Report(sl, s.Listen.Ready, "listen.ready", "Listen", "is required of a gateway")
+		config.ReportError(sl, s.Listen.Ready, "listen.ready", "Listen", "is required of a gateway")
 	}
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if a.Entry != nil || a.Agent.Role != DefaultRole || a.Agent.Drain.D() != DefaultAgentDrain {
+	if a.Entry != nil || a.Agent.Role != DefaultAgentRole || a.Agent.Drain.D() != DefaultAgentDrain {
 		t.Errorf("agent: %+v", a)
 	}
 }
@@ -54,7 +54,7 @@
 	}
 	_, err := Load(path)
 	var paths []string
-	for _, f := range config.FaultsOf(err) {
+	for _, f := range config.FieldErrorsOf(err) {
 		if !strings.HasPrefix(f.Path, "entry.") {
 			paths = append(paths, f.Path)
 		}
@@ -71,7 +71,7 @@
 
 func TestUnknownRole(t *testing.T) {
 	_, err := Parse([]byte(strings.Replace(entry, `"entry"`, `"proxy"`, 1)))
-	if fs := config.FaultsOf(err); len(fs) != 1 || fs[0].Path != "role" {
+	if fs := config.FieldErrorsOf(err); len(fs) != 1 || fs[0].Path != "role" {
 		t.Fatalf("error %v", err)
 	}
 }
--- a/workspace/broken_test.go
+++ b/workspace/broken_test.go
@@ -10,7 +10,7 @@
 
 // Checks that the package's invariant detects a request that is released twice.
 func TestInvariantsDetectBrokenStates(t *testing.T) {
-	invarianttest.Violates(t, "workspace.scheduler.counts", func() {
+	invarianttest.ExpectViolation(t, "workspace.scheduler.counts", func() {
 		s := NewScheduler(Options{})
 		s.SetCapacity("p", request.ClassShort, Capacity{Slots: 8})
 		ticket, f := s.Submit(t.Context(), item("w", 100, time.Second))
