--- a/declared/servicelevel.go
+++ b/declared/servicelevel.go
@@ -54,15 +54,15 @@
 }
 
 func init() {
-	config.RegisterTag("length_class", func(f validator.FieldLevel) bool {
+	config.RegisterTagValidation("length_class", func(f validator.FieldLevel) bool {
 		_, ok := ParseLengthClass(f.Field().String())
 		return ok
 	})
-	config.RegisterStruct(checkBurnWindow, AlertRule{})
+	config.RegisterStructValidation(checkBurnWindow, AlertRule{})
 }
 
 func checkBurnWindow(sl validator.StructLevel) {
 	if w := sl.Current().Interface().(AlertRule); w.ShortWindow >= w.LongWindow {
-		config.Report(sl, w.ShortWindow, "short", "Short", "must be shorter than long")
+		config.ReportError(sl, w.ShortWindow, "short", "Short", "must be shorter than long")
 	}
 }
