--- a/agent/admit.go
+++ b/agent/admit.go
@@ -374,7 +374,7 @@
 	msg := &wirepb.Refuse{
 		Code:         refused.code,
 		Detail:       refused.detail,
-		Load:         wire.LoadMessage(load),
+		Load:         wire.LoadToProto(load),
 		RetryAfterMs: uint64(retry.Milliseconds()),
 	}
 	return r.send(&wirepb.RunDown{Body: &wirepb.RunDown_Refuse{Refuse: msg}})
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -116,7 +116,7 @@
 	}
 }
 
-func (a *Agent) loadMessage() *wirepb.Load { return wire.LoadMessage(a.Load()) }
+func (a *Agent) loadMessage() *wirepb.Load { return wire.LoadToProto(a.Load()) }
 
 // Descriptor returns a copy of the current descriptor of the backend server.
 func (a *Agent) Descriptor() backend.Descriptor {
--- a/agent/drain.go
+++ b/agent/drain.go
@@ -83,7 +83,7 @@
 
 // Status returns a snapshot of the agent's state.
 func (a *Agent) Status(context.Context, *wirepb.StatusRequest) (*wirepb.AgentStatus, error) {
-	out := &wirepb.AgentStatus{Descriptor_: wire.DescriptorMessage(a.Descriptor(), a.cfg.Incarnation)}
+	out := &wirepb.AgentStatus{Descriptor_: wire.DescriptorToProto(a.Descriptor(), a.cfg.Incarnation)}
 	if a.cfg.ConfigVersion != nil {
 		out.ConfigVersion = a.cfg.ConfigVersion()
 	}
@@ -93,7 +93,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out.HighestFence = a.highestFence
-	out.Load = wire.LoadMessage(a.loadLocked())
+	out.Load = wire.LoadToProto(a.loadLocked())
 	out.EngineUp = a.engine.up
 	now := a.cfg.Now()
 	for _, r := range a.runs {
--- a/agent/run.go
+++ b/agent/run.go
@@ -85,7 +85,7 @@
 	defer a.release(r)
 	defer a.releaseOnCancel(r)()
 	r.admitted.Store(true)
-	admit := &wirepb.Admit{Load: wire.LoadMessage(r.admissionLoad), EngineAddress: a.cfg.Descriptor.EngineAddress}
+	admit := &wirepb.Admit{Load: wire.LoadToProto(r.admissionLoad), EngineAddress: a.cfg.Descriptor.EngineAddress}
 	if err := r.send(&wirepb.RunDown{Body: &wirepb.RunDown_Admit{Admit: admit}}); err != nil {
 		return errors.Annotatef(err, "step send admit, peer %s", start.Entry)
 	}
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -182,7 +182,7 @@
 	if l == nil {
 		return
 	}
-	e.cfg.Servers.ObserveResponse(name, wire.LoadOf(l), time.Now())
+	e.cfg.Servers.ObserveResponse(name, wire.LoadFromProto(l), time.Now())
 }
 
 // stepError annotates err with the step and the peer. If ctx has ended, its
--- a/internal/capacity/measure_control.go
+++ b/internal/capacity/measure_control.go
@@ -35,7 +35,7 @@
 }
 
 // wireBytes is what a datagram costs on the wire.
-func wireBytes(m *wirepb.Datagram) float64 { return float64(proto.Size(m) + wire.HeaderBytes) }
+func wireBytes(m *wirepb.Datagram) float64 { return float64(proto.Size(m) + wire.UDPHeaderBytes) }
 
 func sampleDigestBytes(_ context.Context, n int) (float64, error) {
 	const agentsPerEntry, rounds = 28, 60
@@ -76,7 +76,7 @@
 
 func ackFrom(home string, sequence uint64) *wirepb.Datagram {
 	return &wirepb.Datagram{Body: &wirepb.Datagram_Ack{Ack: &wirepb.ReportAck{
-		Entry: wire.Key(home), EntryIncarnation: 1_700_000_000_000, Sequence: sequence,
+		Entry: wire.NameKey(home), EntryIncarnation: 1_700_000_000_000, Sequence: sequence,
 		PeersVersion: 1 << 63, PeriodMs: 6000,
 	}}}
 }
--- a/internal/capacity/measure_entry.go
+++ b/internal/capacity/measure_entry.go
@@ -141,7 +141,7 @@
 		d := descriptor(i)
 		o.Handle(began, netip.MustParseAddrPort(d.DatagramAddress), &wirepb.Datagram{
 			Body: &wirepb.Datagram_Hello{Hello: &wirepb.Hello{
-				Descriptor_: wire.DescriptorMessage(d, 1), Load: wire.LoadMessage(sampleLoad(1)),
+				Descriptor_: wire.DescriptorToProto(d, 1), Load: wire.LoadToProto(sampleLoad(1)),
 			}},
 		})
 	}
@@ -158,7 +158,7 @@
 func reportOf(i int, sequence uint64) *wirepb.Datagram {
 	return &wirepb.Datagram{Body: &wirepb.Datagram_Report{Report: &wirepb.Report{
 		Key: backend.KeyOf(descriptor(i).Name), Incarnation: 1, PeriodMs: 6000,
-		Load: wire.LoadMessage(sampleLoad(sequence)), ConfigVersion: 1 << 20,
+		Load: wire.LoadToProto(sampleLoad(sequence)), ConfigVersion: 1 << 20,
 	}}}
 }
 
--- a/internal/node/announce_test.go
+++ b/internal/node/announce_test.go
@@ -61,7 +61,7 @@
 		Name: "briar-1", Zone: "hobart", Region: "tas", Pool: "briar-pool",
 		RPCAddress: "10.0.0.1:7000", DatagramAddress: "10.0.0.1:7001",
 	}
-	hello := &wirepb.Hello{Descriptor_: wire.DescriptorMessage(d, 1), Load: wire.LoadMessage(backend.Load{Running: 3, Sequence: 1})}
+	hello := &wirepb.Hello{Descriptor_: wire.DescriptorToProto(d, 1), Load: wire.LoadToProto(backend.Load{Running: 3, Sequence: 1})}
 	n.runner.With(func(o *membership.Observer) {
 		o.Handle(time.Now(), netip.MustParseAddrPort(d.DatagramAddress), &wirepb.Datagram{Body: &wirepb.Datagram_Hello{Hello: hello}})
 	})
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -158,7 +158,7 @@
 			Metrics: n.cfg.Metrics,
 		},
 		Listen:     n.cfg.DatagramListen,
-		OnEvidence: func(list []*wirepb.Evidence) { wire.LearnEvidence(n.book, list, time.Now()) },
+		OnEvidence: func(list []*wirepb.Evidence) { wire.MergeEvidence(n.book, list, time.Now()) },
 		Pulls:      membership.PullFuncs{Config: n.pullConfig, Peers: n.pullPeers, Servers: n.pullServers},
 		Log:        n.tasks.log,
 
--- a/internal/node/entry_service.go
+++ b/internal/node/entry_service.go
@@ -66,7 +66,7 @@
 // report.
 func (s *entryService) ShareEvidence(_ context.Context, in *wirepb.EvidenceList) (*wirepb.EvidenceList, error) {
 	now := time.Now()
-	if news := wire.LearnEvidence(s.node.book, in.GetEvidence(), now); len(news) > 0 {
+	if news := wire.MergeEvidence(s.node.book, in.GetEvidence(), now); len(news) > 0 {
 		s.node.runner.AddEvidence(news)
 	}
 	return &wirepb.EvidenceList{Evidence: allEvidence(s.node.book, now)}, nil
--- a/internal/node/evidence.go
+++ b/internal/node/evidence.go
@@ -29,7 +29,7 @@
 func (b sharedBook) RecordDeath(fingerprint, death uint64, now time.Time) (quarantine.Record, bool) {
 	record, news := b.Tracker.RecordDeath(fingerprint, death, now)
 	if news {
-		b.runner.AddEvidence([]*wirepb.Evidence{wire.EvidenceMessage(record)})
+		b.runner.AddEvidence([]*wirepb.Evidence{wire.EvidenceToProto(record)})
 	}
 	return record, news
 }
@@ -37,7 +37,7 @@
 func allEvidence(book *quarantine.Tracker, now time.Time) []*wirepb.Evidence {
 	var out []*wirepb.Evidence
 	for _, r := range book.Records(now) {
-		out = append(out, wire.EvidenceMessage(r))
+		out = append(out, wire.EvidenceToProto(r))
 	}
 	return out
 }
@@ -58,7 +58,7 @@
 			n.tasks.log.WithFields(logrus.Fields{"workspace": s.Workspace, "request": s.RequestID, "entry": s.Entry}).
 				Warn("prompt quarantined: engines died under it")
 		}
-		list = append(list, wire.EvidenceMessage(record))
+		list = append(list, wire.EvidenceToProto(record))
 	}
 	if len(list) == 0 {
 		return nil
@@ -71,7 +71,7 @@
 			ctx, cancel := context.WithTimeout(ctx, shareTimeout)
 			defer cancel()
 			known, err := n.dialer.ShareEvidence(ctx, addr, &wirepb.EvidenceList{Evidence: list})
-			wire.LearnEvidence(n.book, known.GetEvidence(), time.Now())
+			wire.MergeEvidence(n.book, known.GetEvidence(), time.Now())
 			return err
 		})
 	}
--- a/internal/node/rollout_servers.go
+++ b/internal/node/rollout_servers.go
@@ -131,7 +131,7 @@
 	}
 	t := toldServers{at: time.Now()}
 	for _, m := range status.GetServers() {
-		row := backend.Row{Descriptor: wire.DescriptorOf(m.GetDescriptor_()), Load: wire.LoadOf(m.GetLoad())}
+		row := backend.Row{Descriptor: wire.DescriptorFromProto(m.GetDescriptor_()), Load: wire.LoadFromProto(m.GetLoad())}
 		if m.GetState() != backend.StateLive.String() {
 			row.State = backend.StateSuspect
 		}
@@ -247,8 +247,8 @@
 			continue
 		}
 		out = append(out, &wirepb.ServerStatus{
-			Descriptor_:   wire.DescriptorMessage(row.Descriptor, row.Incarnation),
-			Load:          wire.LoadMessage(row.Load),
+			Descriptor_:   wire.DescriptorToProto(row.Descriptor, row.Incarnation),
+			Load:          wire.LoadToProto(row.Load),
 			AgeMs:         uint64(now.Sub(row.LoadAt).Milliseconds()),
 			State:         row.State.String(),
 			ConfigVersion: revisions[row.Name],
--- a/internal/node/rollout_servers_test.go
+++ b/internal/node/rollout_servers_test.go
@@ -96,7 +96,7 @@
 		if slices.Contains(homes, addr) {
 			d := backend.Descriptor{Name: name, Region: "tas", Pool: pool}
 			out.Servers = append(out.Servers, &wirepb.ServerStatus{
-				Descriptor_: wire.DescriptorMessage(d, 1), Load: &wirepb.Load{}, State: backend.StateLive.String(),
+				Descriptor_: wire.DescriptorToProto(d, 1), Load: &wirepb.Load{}, State: backend.StateLive.String(),
 			})
 		}
 	}
--- a/membership/budget_test.go
+++ b/membership/budget_test.go
@@ -150,9 +150,9 @@
 		Entry: h.key, EntryIncarnation: c.incarnation(), Sequence: 1 << 20,
 		PeersVersion: 1 << 63, PeriodMs: 4000,
 	}))
-	cost := report + wire.HeaderBytes + (ack+wire.HeaderBytes)/ackEvery
+	cost := report + wire.UDPHeaderBytes + (ack+wire.UDPHeaderBytes)/ackEvery
 	if cost > reportCost || cost < reportCost*3/4 {
 		t.Errorf("a report with its share of an acknowledgement costs %d B (%d + %d/%d, %d B of headers each), reportCost is %d",
-			cost, report, ack, ackEvery, wire.HeaderBytes, reportCost)
+			cost, report, ack, ackEvery, wire.UDPHeaderBytes, reportCost)
 	}
 }
--- a/membership/cluster_test.go
+++ b/membership/cluster_test.go
@@ -72,7 +72,7 @@
 }
 
 func (f *fakeTable) Observe(d backend.Descriptor, inc uint64, load backend.Load, now time.Time) {
-	f.rows[wire.Key(d.Name)] = &fakeRow{name: d.Name, descriptor: d, incarnation: inc, load: load, at: now}
+	f.rows[wire.NameKey(d.Name)] = &fakeRow{name: d.Name, descriptor: d, incarnation: inc, load: load, at: now}
 }
 
 func (f *fakeTable) ObserveLoad(key, inc uint64, load backend.Load, age time.Duration, now time.Time) bool {
@@ -86,12 +86,12 @@
 }
 
 func (f *fakeTable) ObserveListed(d backend.Descriptor, inc uint64, load backend.Load, age time.Duration, now time.Time) {
-	row := f.rows[wire.Key(d.Name)]
+	row := f.rows[wire.NameKey(d.Name)]
 	if row == nil || row.incarnation < inc {
-		f.rows[wire.Key(d.Name)] = &fakeRow{name: d.Name, descriptor: d, incarnation: inc, load: load, at: now.Add(-age)}
+		f.rows[wire.NameKey(d.Name)] = &fakeRow{name: d.Name, descriptor: d, incarnation: inc, load: load, at: now.Add(-age)}
 		return
 	}
-	f.ObserveLoad(wire.Key(d.Name), inc, load, age, now)
+	f.ObserveLoad(wire.NameKey(d.Name), inc, load, age, now)
 }
 
 func (f *fakeTable) mark(key uint64, s backend.State) {
@@ -104,7 +104,7 @@
 func (f *fakeTable) MarkDead(key uint64)    { f.mark(key, backend.StateDead) }
 
 func (f *fakeTable) state(name string) backend.State {
-	if row := f.rows[wire.Key(name)]; row != nil {
+	if row := f.rows[wire.NameKey(name)]; row != nil {
 		return row.state
 	}
 	return backend.StateDead
@@ -264,7 +264,7 @@
 		if err != nil {
 			c.t.Fatalf("received an invalid datagram: %v", err)
 		}
-		c.bytes[f.to] += len(f.encoded) + wire.HeaderBytes
+		c.bytes[f.to] += len(f.encoded) + wire.UDPHeaderBytes
 		if i := entryIndex(f.to); i >= 0 && i < len(c.entries) && !c.entries[i].paused && !c.entries[i].dead {
 			c.applyEntry(c.entries[i], c.entries[i].Handle(c.now, f.from, m))
 		}
@@ -304,7 +304,7 @@
 		if err := wire.Check(o.Message); err != nil {
 			c.t.Fatalf("sent an invalid datagram: %v", err)
 		}
-		c.bytes[from] += len(buf) + wire.HeaderBytes
+		c.bytes[from] += len(buf) + wire.UDPHeaderBytes
 		c.sent[from]++
 		for _, delay := range c.deliver(from, o.To) {
 			c.nextOrder++
--- a/membership/config_test.go
+++ b/membership/config_test.go
@@ -376,7 +376,7 @@
 	ack := proto.Size(ackMessage(&wirepb.ReportAck{
 		Entry: 1, EntryIncarnation: 1_800_000_000_000, Sequence: 1 << 20, ConfigVersion: 1 << 24,
 		PeersVersion: 1 << 63, PeriodMs: 7000, KnownIncarnation: 1_800_000_000_000,
-	})) + wire.HeaderBytes
+	})) + wire.UDPHeaderBytes
 	if sum := pullBytes + 2*ack; sum > announceCost || sum < announceCost*3/4 {
 		t.Errorf("an announcement, sent twice, and its pull cost %d B, announceCost is %d", sum, announceCost)
 	}
--- a/membership/descriptor_test.go
+++ b/membership/descriptor_test.go
@@ -29,7 +29,7 @@
 	want := c.agents[i].cfg.Descriptor
 	n := 0
 	for _, e := range c.entries {
-		row := e.table.rows[wire.Key(want.Name)]
+		row := e.table.rows[wire.NameKey(want.Name)]
 		if row == nil || !cmp.Equal(row.descriptor.Models, want.Models) ||
 			!cmp.Equal(row.descriptor.Adapters, want.Adapters) || row.descriptor.Role != want.Role {
 			n++
@@ -97,7 +97,7 @@
 	c := newCluster(t, 8, 40, 1, 53)
 	c.makeIdle(0)
 	c.run(settleTime)
-	key := wire.Key(c.agents[0].name())
+	key := wire.NameKey(c.agents[0].name())
 	for _, e := range c.entries {
 		a := e.agents[key]
 		if a.direct {
@@ -137,9 +137,9 @@
 			e.MergeServers(c.now, other.Servers(c.now, 0, 0).GetServers())
 		}
 	}
-	key := wire.Key(c.agents[0].name())
+	key := wire.NameKey(c.agents[0].name())
 	for _, e := range c.entries {
-		table := wire.DescriptorMessage(e.table.rows[key].descriptor, e.agents[key].incarnation)
+		table := wire.DescriptorToProto(e.table.rows[key].descriptor, e.agents[key].incarnation)
 		if e.agents[key].hash != descriptorHash(table) {
 			t.Errorf("%s: the hash isn't that of the table's descriptor", e.self.GetName())
 		}
--- a/membership/digest.go
+++ b/membership/digest.go
@@ -63,7 +63,7 @@
 	}
 	if p := o.peers.digestTarget(o.cfg.Rand); p != nil {
 		m := digestMessage(o.newDigest(now))
-		o.digests.lastBytes = proto.Size(m) + wire.HeaderBytes
+		o.digests.lastBytes = proto.Size(m) + wire.UDPHeaderBytes
 		out.send(p.addr, m)
 	}
 }
--- a/membership/failure_test.go
+++ b/membership/failure_test.go
@@ -220,7 +220,7 @@
 	c.run(settleTime)
 	before := e.oldIncarnation.Count()
 	c.applyEntry(e, e.Handle(c.now, a.addr, old))
-	if e.table.rows[wire.Key(a.name())].load.Draining {
+	if e.table.rows[wire.NameKey(a.name())].load.Draining {
 		t.Error("the drain flag of the previous incarnation was applied")
 	}
 	if n := e.oldIncarnation.Count() - before; n != 1 {
@@ -245,7 +245,7 @@
 	a.load.Running = 77
 	c.run(settleTime)
 	for _, e := range c.entries {
-		if row := e.table.rows[wire.Key(a.name())]; row.load.Running != 77 || row.state != backend.StateLive {
+		if row := e.table.rows[wire.NameKey(a.name())]; row.load.Running != 77 || row.state != backend.StateLive {
 			t.Errorf("%s has row %+v", e.self.GetName(), row)
 		}
 	}
@@ -261,7 +261,7 @@
 	for i := range c.entries {
 		fresh := c.newEntry(i)
 		fresh.self.Name += "-b"
-		fresh.key = wire.Key(fresh.self.Name)
+		fresh.key = wire.NameKey(fresh.self.Name)
 		c.entries[i] = fresh
 	}
 	for _, e := range c.entries {
@@ -291,7 +291,7 @@
 	a.load.Draining = true
 	c.run(3 * time.Second)
 	for _, e := range c.entries {
-		if !e.table.rows[wire.Key(a.name())].load.Draining {
+		if !e.table.rows[wire.NameKey(a.name())].load.Draining {
 			t.Errorf("%s hasn't received the drain after 3 s", e.self.GetName())
 		}
 	}
@@ -309,7 +309,7 @@
 	a.load.Sequence = readings
 	c.run(settleTime)
 	for _, e := range c.homesOf(a) {
-		if got := e.table.rows[wire.Key(a.name())].load.Sequence; got < readings {
+		if got := e.table.rows[wire.NameKey(a.name())].load.Sequence; got < readings {
 			t.Errorf("%s has a report with sequence %d, an answer had %d", e.self.GetName(), got, readings)
 		}
 	}
@@ -342,7 +342,7 @@
 		t.Fatal("the drain isn't reported as sent after 3 s")
 	}
 	for _, e := range c.homesOf(a) {
-		if !e.table.rows[wire.Key(a.name())].load.Draining {
+		if !e.table.rows[wire.NameKey(a.name())].load.Draining {
 			t.Errorf("%s hasn't received the drain", e.self.GetName())
 		}
 	}
@@ -479,7 +479,7 @@
 		t.Fatal("the report period is too short for this test")
 	}
 	for _, e := range c.entries {
-		if got := e.table.rows[wire.Key(a.name())].load.PrefillShort; got != 300_000 {
+		if got := e.table.rows[wire.NameKey(a.name())].load.PrefillShort; got != 300_000 {
 			t.Errorf("%s has %d tokens of short prefill, want 300000", e.self.GetName(), got)
 		}
 	}
--- a/membership/lists_test.go
+++ b/membership/lists_test.go
@@ -28,7 +28,7 @@
 // ackPeersVersion passes a home's answer with a version of its list to r.
 func ackPeersVersion(r *Reporter, home string, version uint64, now time.Time) Effects {
 	return r.Handle(now, netip.AddrPort{}, &wirepb.Datagram{Body: &wirepb.Datagram_Ack{Ack: &wirepb.ReportAck{
-		Entry: wire.Key(home), EntryIncarnation: 1, PeersVersion: version,
+		Entry: wire.NameKey(home), EntryIncarnation: 1, PeersVersion: version,
 	}}})
 }
 
--- a/membership/observer.go
+++ b/membership/observer.go
@@ -145,7 +145,7 @@
 	return &Observer{
 		cfg:             cfg,
 		self:            proto.Clone(cfg.Self).(*wirepb.Peer),
-		key:             wire.Key(cfg.Self.GetName()),
+		key:             wire.NameKey(cfg.Self.GetName()),
 		agents:          map[uint64]*agent{},
 		peers:           newPeerSet(),
 		evidence:        newEvidenceSet(),
@@ -216,14 +216,14 @@
 // change and as the answer to a request.
 func (o *Observer) handleHello(now time.Time, from netip.AddrPort, h *wirepb.Hello, out *Effects) {
 	d := h.GetDescriptor_()
-	key := wire.Key(d.GetName())
+	key := wire.NameKey(d.GetName())
 	a := o.agents[key]
 	if a != nil && d.GetIncarnation() < a.incarnation {
 		o.oldIncarnation.Inc(1)
 		o.sendAck(a, from, a.incarnation, out)
 		return
 	}
-	load := wire.LoadOf(h.GetLoad())
+	load := wire.LoadFromProto(h.GetLoad())
 	if a != nil && d.GetIncarnation() == a.incarnation && load.Sequence < a.sequence {
 		o.oldSequence.Inc(1)
 		return
@@ -241,7 +241,7 @@
 	o.setDirect(a, o.isHome(a.name))
 	o.recordSample(now, a, load, 0)
 	load.Incarnation = a.incarnation
-	o.cfg.Table.Observe(wire.DescriptorOf(d), a.incarnation, load, now)
+	o.cfg.Table.Observe(wire.DescriptorFromProto(d), a.incarnation, load, now)
 	o.reapplyLeaving(a)
 	o.sendAck(a, from, 0, out)
 }
@@ -264,7 +264,7 @@
 		o.rejectReport(from, r, 0, out)
 		return
 	}
-	load := wire.LoadOf(r.GetLoad())
+	load := wire.LoadFromProto(r.GetLoad())
 	if load.Sequence <= a.sequence {
 		o.oldSequence.Inc(1)
 		return
@@ -363,7 +363,7 @@
 // So the mark applies only to the incarnation known at this time.
 func (o *Observer) MarkLeaving(names []string) {
 	for _, name := range names {
-		a := o.agents[wire.Key(name)]
+		a := o.agents[wire.NameKey(name)]
 		if a == nil || a.leavingIncarnation == a.incarnation {
 			continue
 		}
--- a/membership/peers.go
+++ b/membership/peers.go
@@ -118,7 +118,7 @@
 func (o *Observer) SetPeers(now time.Time, list []*wirepb.Peer) {
 	keep := map[uint64]bool{}
 	for _, p := range list {
-		keep[wire.Key(p.GetName())] = true
+		keep[wire.NameKey(p.GetName())] = true
 	}
 	for key := range o.peers.all {
 		if !keep[key] {
@@ -131,7 +131,7 @@
 // MergePeers merges a list of entries from another entry. It drops none.
 func (o *Observer) MergePeers(now time.Time, list []*wirepb.Peer) {
 	for _, info := range list {
-		key := wire.Key(info.GetName())
+		key := wire.NameKey(info.GetName())
 		if key == o.key || info.GetRegion() != o.self.GetRegion() {
 			continue
 		}
--- a/membership/property_test.go
+++ b/membership/property_test.go
@@ -20,7 +20,7 @@
 }
 
 func (o *orderedTable) Observe(d backend.Descriptor, inc uint64, load backend.Load, now time.Time) {
-	if row := o.rows[wire.Key(d.Name)]; row != nil && inc < row.incarnation {
+	if row := o.rows[wire.NameKey(d.Name)]; row != nil && inc < row.incarnation {
 		o.t.Fatalf("descriptor of incarnation %d after %d", inc, row.incarnation)
 	}
 	o.fakeTable.Observe(d, inc, load, now)
@@ -67,7 +67,7 @@
 		c.run(time.Minute)
 		for _, a := range c.agents {
 			for _, e := range c.homesOf(a) {
-				row := e.table.rows[wire.Key(a.name())]
+				row := e.table.rows[wire.NameKey(a.name())]
 				if row == nil || row.incarnation != a.Incarnation() || row.state != backend.StateLive {
 					rt.Fatalf("%s has row %+v of %s, want incarnation %d", e.self.GetName(), row, a.name(), a.Incarnation())
 				}
--- a/membership/recovery_test.go
+++ b/membership/recovery_test.go
@@ -45,7 +45,7 @@
 	for _, a := range c.agents[:n] {
 		a.load.Draining = true
 		for _, e := range c.entries {
-			key := wire.Key(a.name())
+			key := wire.NameKey(a.name())
 			if row := e.agents[key]; row != nil && !row.gone {
 				waiting[pair{e, key}] = row.direct
 			}
--- a/membership/reporter.go
+++ b/membership/reporter.go
@@ -245,9 +245,9 @@
 		return r.newHello(load)
 	}
 	return reportMessage(&wirepb.Report{
-		Key:           wire.Key(r.cfg.Descriptor.Name),
+		Key:           wire.NameKey(r.cfg.Descriptor.Name),
 		Incarnation:   r.incarnation,
-		Load:          wire.LoadMessage(load),
+		Load:          wire.LoadToProto(load),
 		ConfigVersion: r.config,
 		PeriodMs:      uint32(r.Period().Milliseconds()),
 	})
@@ -255,8 +255,8 @@
 
 func (r *Reporter) newHello(load backend.Load) *wirepb.Datagram {
 	return helloMessage(&wirepb.Hello{
-		Descriptor_:   wire.DescriptorMessage(r.cfg.Descriptor, r.incarnation),
-		Load:          wire.LoadMessage(load),
+		Descriptor_:   wire.DescriptorToProto(r.cfg.Descriptor, r.incarnation),
+		Load:          wire.LoadToProto(load),
 		ConfigVersion: r.config,
 		PeriodMs:      uint32(r.Period().Milliseconds()),
 	})
--- a/membership/reporter_acks.go
+++ b/membership/reporter_acks.go
@@ -15,7 +15,7 @@
 	case *wirepb.Datagram_Ack:
 		r.handleAck(now, body.Ack, &out)
 	case *wirepb.Datagram_Describe:
-		if body.Describe.GetKey() == wire.Key(r.cfg.Descriptor.Name) {
+		if body.Describe.GetKey() == wire.NameKey(r.cfg.Descriptor.Name) {
 			out.send(from, r.newHello(r.lastSent))
 		}
 	}
--- a/membership/reporter_homes.go
+++ b/membership/reporter_homes.go
@@ -51,7 +51,7 @@
 	}
 	r.peerLists[source] = peers
 	r.peersPullAt = time.Time{}
-	if h := r.entries[wire.Key(source)]; h != nil {
+	if h := r.entries[wire.NameKey(source)]; h != nil {
 		h.peersVersion = PeersVersion(peers)
 	}
 	r.prunePeerLists(source)
@@ -70,7 +70,7 @@
 			continue
 		}
 		delete(r.peerLists, name)
-		if h := r.entries[wire.Key(name)]; h != nil {
+		if h := r.entries[wire.NameKey(name)]; h != nil {
 			h.peersVersion = 0 // pull again when it answers
 		}
 	}
@@ -91,7 +91,7 @@
 	}
 	r.ranked = r.ranked[:0]
 	for _, name := range Rank(r.cfg.Descriptor.Name, names, len(names)) {
-		r.ranked = append(r.ranked, r.entries[wire.Key(name)])
+		r.ranked = append(r.ranked, r.entries[wire.NameKey(name)])
 	}
 	r.chooseHomes()
 }
@@ -102,7 +102,7 @@
 	sameRegion, all := map[uint64]*wirepb.Peer{}, map[uint64]*wirepb.Peer{}
 	for _, list := range r.peerLists {
 		for _, p := range list {
-			key := wire.Key(p.GetName())
+			key := wire.NameKey(p.GetName())
 			if old := all[key]; old != nil && old.GetIncarnation() > p.GetIncarnation() {
 				continue
 			}
--- a/membership/servers.go
+++ b/membership/servers.go
@@ -110,12 +110,12 @@
 			continue
 		}
 		if len(page.Servers) == size {
-			page.Next = wire.Key(page.Servers[size-1].GetDescriptor_().GetName())
+			page.Next = wire.NameKey(page.Servers[size-1].GetDescriptor_().GetName())
 			return page
 		}
 		page.Servers = append(page.Servers, &wirepb.ServerStatus{
 			Descriptor_: a.descriptor,
-			Load:        wire.LoadMessage(a.load),
+			Load:        wire.LoadToProto(a.load),
 			AgeMs:       uint64(max(now.Sub(a.sampledAt), 0).Milliseconds()),
 		})
 	}
@@ -135,7 +135,7 @@
 
 func (o *Observer) mergeServer(now time.Time, s *wirepb.ServerStatus) {
 	d := s.GetDescriptor_()
-	key := wire.Key(d.GetName())
+	key := wire.NameKey(d.GetName())
 	age := time.Duration(min(s.GetAgeMs(), uint64(descriptorTTL.Milliseconds()))) * time.Millisecond
 	a := o.agents[key]
 	if a != nil && d.GetIncarnation() < a.incarnation {
@@ -157,7 +157,7 @@
 		a.setDescriptor(d)
 	}
 	o.setDirect(a, false)
-	load := wire.LoadOf(s.GetLoad())
+	load := wire.LoadFromProto(s.GetLoad())
 	load.Sequence = 0 // ordered by its age
 	load.Incarnation = a.incarnation
 	if a.load.Draining && !load.Draining {
@@ -189,7 +189,7 @@
 	if a.descriptor == nil {
 		return false
 	}
-	o.cfg.Table.ObserveListed(wire.DescriptorOf(a.descriptor), a.incarnation, a.load, age, now)
+	o.cfg.Table.ObserveListed(wire.DescriptorFromProto(a.descriptor), a.incarnation, a.load, age, now)
 	o.reapplyLeaving(a)
 	return true
 }
--- a/membership/servers_test.go
+++ b/membership/servers_test.go
@@ -83,7 +83,7 @@
 	e.paused = false
 	c.run(5 * time.Second)
 	for _, a := range c.agents {
-		if row := e.table.rows[wire.Key(a.name())]; row == nil || row.incarnation != a.Incarnation() {
+		if row := e.table.rows[wire.NameKey(a.name())]; row == nil || row.incarnation != a.Incarnation() {
 			t.Errorf("%s isn't known with its present incarnation", a.name())
 		}
 	}
@@ -113,7 +113,7 @@
 	c.startAgent(0, 1)
 	c.run(settleTime)
 	e.MergeServers(c.now, old)
-	if row := e.table.rows[wire.Key(a.name())]; row.incarnation != a.Incarnation() {
+	if row := e.table.rows[wire.NameKey(a.name())]; row.incarnation != a.Incarnation() {
 		t.Errorf("incarnation %d, want %d", row.incarnation, a.Incarnation())
 	}
 }
@@ -166,7 +166,7 @@
 	c.startAgent(0, 1)
 	c.run(3 * time.Second)
 	for _, e := range c.homesOf(a) {
-		drained := e.agents[wire.Key(a.name())].drainSeenAt
+		drained := e.agents[wire.NameKey(a.name())].drainSeenAt
 		if c.now.Sub(drained) > 3*time.Second {
 			t.Errorf("%s first received the drain %s ago", e.self.GetName(), c.now.Sub(drained))
 		}
--- a/peering/exchange.go
+++ b/peering/exchange.go
@@ -305,7 +305,7 @@
 	for _, seq := range m.GetEnded() {
 		x.cfg.Ledger.End(placement.AttemptID{Owner: owner, Seq: seq})
 	}
-	wire.LearnEvidence(x.cfg.Quarantine, m.GetEvidence(), now)
+	wire.MergeEvidence(x.cfg.Quarantine, m.GetEvidence(), now)
 	if m.GetBeat() {
 		x.cfg.Ledger.Reconcile(owner, m.GetActive(), m.GetUpTo(), now.Add(-reorderTolerance))
 	}
--- a/peering/outbox.go
+++ b/peering/outbox.go
@@ -99,7 +99,7 @@
 	o.mu.Unlock()
 	out := packMessages(o.owner, began, first, ended, now)
 	for _, r := range died {
-		out = append(out, &wirepb.WorkNews{Owner: o.owner, Evidence: []*wirepb.Evidence{wire.EvidenceMessage(r)}})
+		out = append(out, &wirepb.WorkNews{Owner: o.owner, Evidence: []*wirepb.Evidence{wire.EvidenceToProto(r)}})
 	}
 	return out
 }
--- a/wire/check.go
+++ b/wire/check.go
@@ -32,7 +32,7 @@
 )
 
 // Decode decodes and checks one datagram. Its errors are ErrOversize,
-// ErrUndecodable or ErrBounds.
+// ErrUndecodable or ErrOutOfBounds.
 func Decode(buf []byte) (*wirepb.Datagram, error) {
 	if len(buf) > MaxDatagramBytes {
 		return nil, errors.Annotatef(ErrOversize, "%d bytes", len(buf))
@@ -49,7 +49,7 @@
 
 // Check tells whether every field of a datagram is within its bounds. What
 // passes can be used without further checks of length, range or address. Its
-// errors are ErrUndecodable (no body) or ErrBounds with the field's name.
+// errors are ErrUndecodable (no body) or ErrOutOfBounds with the field's name.
 func Check(m *wirepb.Datagram) error {
 	switch body := m.GetBody().(type) {
 	case *wirepb.Datagram_Report:
@@ -218,12 +218,12 @@
 	return nil
 }
 
-// want returns ErrBounds with the field's name unless ok.
+// want returns ErrOutOfBounds with the field's name unless ok.
 func want(ok bool, field string) error {
 	if ok {
 		return nil
 	}
-	return errors.Annotatef(ErrBounds, "field %s", field)
+	return errors.Annotatef(ErrOutOfBounds, "field %s", field)
 }
 
 // firstOf returns the first error.
--- a/wire/check_test.go
+++ b/wire/check_test.go
@@ -29,7 +29,7 @@
 		p := good()
 		c.change(p)
 		err := Check(&wirepb.Datagram{Body: &wirepb.Datagram_Work{Work: &wirepb.WorkNews{Owner: 5, Hello: p}}})
-		if c.ok != (err == nil) || err != nil && !errors.Is(err, ErrBounds) {
+		if c.ok != (err == nil) || err != nil && !errors.Is(err, ErrOutOfBounds) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/wire/convert.go
+++ b/wire/convert.go
@@ -7,11 +7,11 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// Key returns the short name of a backend server or an entry in datagrams.
-func Key(name string) uint64 { return xxhash.Sum64String(name) }
+// NameKey returns the short name of a backend server or an entry in datagrams.
+func NameKey(name string) uint64 { return xxhash.Sum64String(name) }
 
-// LoadMessage encodes a sample.
-func LoadMessage(l backend.Load) *wirepb.Load {
+// LoadToProto encodes a sample.
+func LoadToProto(l backend.Load) *wirepb.Load {
 	return &wirepb.Load{
 		Running:        uint32(max(l.Running, 0)),
 		Waiting:        uint32(max(l.Waiting, 0)),
@@ -26,9 +26,9 @@
 	}
 }
 
-// LoadOf decodes a sample. A nil message is an empty sample. Counts beyond the
+// LoadFromProto decodes a sample. A nil message is an empty sample. Counts beyond the
 // bounds of Check are cut to them, for messages of streams aren't checked.
-func LoadOf(m *wirepb.Load) backend.Load {
+func LoadFromProto(m *wirepb.Load) backend.Load {
 	return backend.Load{
 		Running:      int32(min(m.GetRunning(), maxRequests)),
 		Waiting:      int32(min(m.GetWaiting(), maxRequests)),
@@ -46,8 +46,8 @@
 // tokens cuts a count to its bound.
 func tokens(n uint64) int64 { return int64(min(n, maxTokens)) }
 
-// DescriptorMessage encodes a descriptor of one incarnation of its agent.
-func DescriptorMessage(d backend.Descriptor, incarnation uint64) *wirepb.Descriptor {
+// DescriptorToProto encodes a descriptor of one incarnation of its agent.
+func DescriptorToProto(d backend.Descriptor, incarnation uint64) *wirepb.Descriptor {
 	return &wirepb.Descriptor{
 		Name:            d.Name,
 		RpcAddress:      d.RPCAddress,
@@ -85,8 +85,8 @@
 	return out
 }
 
-// DescriptorOf decodes a descriptor.
-func DescriptorOf(m *wirepb.Descriptor) backend.Descriptor {
+// DescriptorFromProto decodes a descriptor.
+func DescriptorFromProto(m *wirepb.Descriptor) backend.Descriptor {
 	return backend.Descriptor{
 		Name:            m.GetName(),
 		RPCAddress:      m.GetRpcAddress(),
--- a/wire/datagrams.go
+++ b/wire/datagrams.go
@@ -23,24 +23,24 @@
 	// under the smallest usual MTU with its headers, so that none is cut into
 	// fragments of which one lost loses all.
 	MaxDatagramBytes = 1200
-	// HeaderBytes are the IPv4 and UDP headers that the byte counters add to
+	// UDPHeaderBytes are the IPv4 and UDP headers that the byte counters add to
 	// each datagram.
-	HeaderBytes = 28
+	UDPHeaderBytes = 28
 )
 
 // datagramReadBuffer holds any UDP datagram, so that an oversize one is seen
 // whole and counted instead of being cut.
 const datagramReadBuffer = 64 << 10
 
-// Handler is told of each datagram that passed Check. It runs on the socket's
+// DatagramHandler is told of each datagram that passed Check. It runs on the socket's
 // event loop and must not block.
-type Handler func(from netip.AddrPort, m *wirepb.Datagram)
+type DatagramHandler func(from netip.AddrPort, m *wirepb.Datagram)
 
 // DatagramConfig configures Datagrams.
 type DatagramConfig struct {
 	// Address is the ip:port to bind. Port 0 takes a free one.
 	Address string
-	Handler Handler
+	Handler DatagramHandler
 	Log     logrus.FieldLogger // nil: silent
 	Metrics metrics.Registry   // nil: a registry of its own
 	// Fault, if set, is asked about each datagram that is about to be sent. It
@@ -138,7 +138,7 @@
 func (d *Datagrams) Addr() netip.AddrPort { return d.addr }
 
 // Send sends one datagram. It checks what it sends, so that a bad message shows
-// at its source. An error other than ErrOversize or ErrBounds is the network's;
+// at its source. An error other than ErrOversize or ErrOutOfBounds is the network's;
 // no error doesn't mean that it arrived.
 func (d *Datagrams) Send(to netip.AddrPort, m *wirepb.Datagram) error {
 	if err := Check(m); err != nil {
@@ -168,7 +168,7 @@
 		return errors.Annotatef(err, "step send datagram, peer %s", to)
 	}
 	d.counts.out.Inc(1)
-	d.counts.bytesOut.Inc(int64(len(buf) + HeaderBytes))
+	d.counts.bytesOut.Inc(int64(len(buf) + UDPHeaderBytes))
 	return nil
 }
 
@@ -192,7 +192,7 @@
 // datagramEvents receives gnet's events.
 type datagramEvents struct {
 	gnet.BuiltinEventEngine
-	handler Handler
+	handler DatagramHandler
 	counts  datagramCounts
 	boot    chan gnet.Engine
 }
@@ -210,7 +210,7 @@
 		return gnet.None
 	}
 	e.counts.in.Inc(1)
-	e.counts.bytesIn.Inc(int64(len(buf) + HeaderBytes))
+	e.counts.bytesIn.Inc(int64(len(buf) + UDPHeaderBytes))
 	m, err := Decode(buf)
 	if err != nil {
 		e.counts.refused(err)
@@ -253,7 +253,7 @@
 	switch {
 	case errors.Is(err, ErrOversize):
 		c.oversize.Inc(1)
-	case errors.Is(err, ErrBounds):
+	case errors.Is(err, ErrOutOfBounds):
 		c.bounds.Inc(1)
 	default:
 		c.undecodable.Inc(1)
--- a/wire/datagrams_test.go
+++ b/wire/datagrams_test.go
@@ -76,7 +76,7 @@
 		if err := a.Send(b.Addr(), m); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		want += int64(proto.Size(m) + HeaderBytes)
+		want += int64(proto.Size(m) + UDPHeaderBytes)
 		sent++
 		r := <-got
 		if r.from != a.Addr() {
@@ -173,7 +173,7 @@
 		m := samples()[c.kind]
 		c.breakIt(m)
 		err := Check(m)
-		if !errors.Is(err, ErrBounds) || !strings.Contains(err.Error(), "field "+c.field+":") {
+		if !errors.Is(err, ErrOutOfBounds) || !strings.Contains(err.Error(), "field "+c.field+":") {
 			t.Errorf("%s: got %v", c.field, err)
 		}
 	}
@@ -195,7 +195,7 @@
 	f.Fuzz(func(t *testing.T, buf []byte) {
 		m, err := Decode(buf)
 		if err != nil {
-			known := errors.Is(err, ErrUndecodable) || errors.Is(err, ErrBounds) || errors.Is(err, ErrOversize)
+			known := errors.Is(err, ErrUndecodable) || errors.Is(err, ErrOutOfBounds) || errors.Is(err, ErrOversize)
 			if !known {
 				t.Fatalf("error of unknown type: %v", err)
 			}
--- a/wire/errors.go
+++ b/wire/errors.go
@@ -13,6 +13,6 @@
 	ErrOversize = errors.ConstError("datagram too large")
 	// ErrUndecodable: a datagram isn't a protobuf Datagram with a body.
 	ErrUndecodable = errors.ConstError("datagram undecodable")
-	// ErrBounds: a field of a datagram is outside its bounds.
-	ErrBounds = errors.ConstError("datagram field out of bounds")
+	// ErrOutOfBounds: a field of a datagram is outside its bounds.
+	ErrOutOfBounds = errors.ConstError("datagram field out of bounds")
 )
--- a/wire/evidence.go
+++ b/wire/evidence.go
@@ -7,8 +7,8 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// EvidenceMessage encodes a record of a quarantine.
-func EvidenceMessage(r quarantine.Record) *wirepb.Evidence {
+// EvidenceToProto encodes a record of a quarantine.
+func EvidenceToProto(r quarantine.Record) *wirepb.Evidence {
 	return &wirepb.Evidence{
 		Fingerprint: r.Fingerprint,
 		Deaths:      uint32(r.DeathCount),
@@ -18,8 +18,8 @@
 	}
 }
 
-// LearnEvidence enters evidence in a book and returns what was news.
-func LearnEvidence(book *quarantine.Tracker, list []*wirepb.Evidence, now time.Time) []*wirepb.Evidence {
+// MergeEvidence enters evidence in a book and returns what was news.
+func MergeEvidence(book *quarantine.Tracker, list []*wirepb.Evidence, now time.Time) []*wirepb.Evidence {
 	var news []*wirepb.Evidence
 	for _, e := range list {
 		r := quarantine.Record{
