--- a/backend/table_observe.go
+++ b/backend/table_observe.go
@@ -84,7 +84,7 @@
 	return rec.row.DescribedIncarnation >= incarnation
 }
 
-// ObserveAnswer takes in the load that came with an answer of a server. Unlike
+// ObserveResponse takes in the load that came with an answer of a server. Unlike
 // a report it doesn't make this entry a home of the server.
 func (t *Table) ObserveResponse(name string, load Load, now time.Time) {
 	t.mu.Lock()
--- a/peering/outbox.go
+++ b/peering/outbox.go
@@ -20,7 +20,7 @@
 const maxBegunPerMessage = 3
 
 // outbox collects this entry's updates until publishLoop sends them. It implements
-// placement.Teller and gateway.Witness.
+// placement.AttemptPublisher and gateway.DeathReporter.
 type outbox struct {
 	owner uint64
 	wake  chan struct{} // holds one token while updates are pending
