--- a/claim/claim.go
+++ b/claim/claim.go
@@ -18,11 +18,11 @@
 	// ErrNotRun: nothing had run under the key when it was checked after the
 	// call came in, and nothing will run on behalf of this call. Reported as
 	// "not run".
-	ErrNotRun = errors.ConstError("claim refused: call not run")
+	ErrNotRun = errors.ConstError("claim not made, call not run")
 	// ErrUnverified: this call was not dispatched, but it can't be determined
 	// now whether an earlier call under the same key was. Reported as "outcome
 	// unknown"; the same key may be sent again.
-	ErrUnverified = errors.ConstError("claim refused: outcome of earlier calls under the key unknown")
+	ErrUnverified = errors.ConstError("claim not made, earlier calls unknown")
 	// ErrBadKey: the key has the form of an issued key but was not issued, or
 	// belongs to another workspace. Reported as "not run" for this call.
 	ErrBadKey = errors.ConstError("idempotency key not issued")
--- a/claim/codec.go
+++ b/claim/codec.go
@@ -69,10 +69,10 @@
 	r := io.LimitReader(flate.NewReader(bytes.NewReader(p.Deflated)), maxDecompressedBytes+1)
 	plain, err := io.ReadAll(r)
 	if err != nil {
-		return nil, errors.Annotate(err, "step decompress claim shard")
+		return nil, errors.Annotate(err, "step unpack claim shard")
 	}
 	if len(plain) > maxDecompressedBytes {
-		return nil, errors.Annotate(objectapi.ErrTooLarge, "step decompress claim shard")
+		return nil, errors.Annotate(objectapi.ErrTooLarge, "step unpack claim shard")
 	}
 	return plain, nil
 }
--- a/claim/layout.go
+++ b/claim/layout.go
@@ -12,7 +12,7 @@
 
 // ErrShardCountMismatch: the configured number of shards differs from the one
 // recorded in the store.
-const ErrShardCountMismatch = errors.ConstError("configured number of claim shards differs from the store's")
+const ErrShardCountMismatch = errors.ConstError("claim shards set differently in another entry")
 
 // layoutName is the name of the object that records the number of shards.
 const layoutName = "layout"
@@ -48,7 +48,7 @@
 		return errors.Annotate(err, "step decode claim layout")
 	}
 	if v.Shards != l.shards {
-		return errors.Annotatef(ErrShardCountMismatch, "step check claim layout: %d configured, %d recorded", l.shards, v.Shards)
+		return errors.Annotatef(ErrShardCountMismatch, "step check claim layout: %d here, %d on record", l.shards, v.Shards)
 	}
 	l.verified.Store(true)
 	return nil
--- a/claim/plan.go
+++ b/claim/plan.go
@@ -79,7 +79,7 @@
 		if o.fromPeer {
 			verdict = errOutcomeUncertain
 		}
-		p.results[o] = result{err: errors.Annotatef(verdict, "step claim, shard %s: claim withdrawn or expired", g.name)}
+		p.results[o] = result{err: errors.Annotatef(verdict, "step claim, shard %s: late", g.name)}
 		return
 	}
 	if name, ok := p.view.find(o.hash); ok {
