--- a/claim/broken_test.go
+++ b/claim/broken_test.go
@@ -6,11 +6,11 @@
 	"github.com/briarturn/briarturn/invariant/invarianttest"
 )
 
-// The invariant of the package notices a key that was granted twice.
-func TestBrokenStatesAreNoticed(t *testing.T) {
+// Verifies that the package's invariant detects a key that was granted twice.
+func TestInvariantsDetectViolations(t *testing.T) {
 	invarianttest.Violates(t, "claim.grant_stays", func() {
 		g := &group{name: "shard"}
-		s := &shard{Claims: map[string]entry{"key": {Mark: "another"}}}
+		s := &shard{Claims: map[string]keyRecord{"key": {Mark: "another"}}}
 		g.checkGrant(s, &op{hash: "key", mark: "mine"})
 	})
 }
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -13,30 +13,30 @@
 	"github.com/briarturn/briarturn/objectapi"
 )
 
-func TestResendGetsRecordedTruth(t *testing.T) {
+func TestResendReturnsRecordedOutcome(t *testing.T) {
 	tests := map[string]struct {
 		outcome Outcome
 		want    Grant
 	}{
-		"done":    {done, Grant{Prior: Prior{State: Done, Record: done.Record}}},
+		"done":    {doneOutcome, Grant{Prior: Prior{State: Done, Record: doneOutcome.Record}}},
 		"unknown": {Outcome{Kind: OutcomeUnknown}, Grant{Prior: Prior{State: Unknown}}},
 		"not run": {Outcome{Kind: OutcomeNotRun}, Grant{Fresh: true}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
-				f := newFleet(t, 2, nil)
-				for _, k := range []Key{ownKey("k1"), ownKey(f.entries[0].Issue(testWorkspace))} {
-					first := claim(t, f.entries[0], k)
+				f := newTestCluster(t, 2, nil)
+				for _, k := range []Key{testKey("k1"), testKey(f.entries[0].Issue(testWorkspace))} {
+					first := mustClaim(t, f.entries[0], k)
 					if !first.Fresh {
 						t.Fatalf("first claim of %v: %+v", k, first)
 					}
-					running := claim(t, f.entries[1], k)
+					running := mustClaim(t, f.entries[1], k)
 					if diff := cmp.Diff(Prior{State: Running}, running.Prior); diff != "" || running.Fresh {
-						t.Errorf("while running: %s", diff)
+						t.Errorf("claim while running: %s", diff)
 					}
-					settle(t, f.entries[0], first, test.outcome)
-					got := claim(t, f.entries[1], k)
+					mustSettle(t, f.entries[0], first, test.outcome)
+					got := mustClaim(t, f.entries[1], k)
 					got.token = nil
 					if diff := cmp.Diff(test.want, got, cmp.AllowUnexported(Grant{})); diff != "" {
 						t.Errorf("resend of %v: %s", k, diff)
@@ -47,76 +47,77 @@
 	}
 }
 
-func TestSettleOnlyOnce(t *testing.T) {
+func TestSecondSettleIsRejected(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		f := newFleet(t, 1, nil)
-		g := claim(t, f.entries[0], ownKey("k"))
-		settle(t, f.entries[0], g, done)
+		f := newTestCluster(t, 1, nil)
+		g := mustClaim(t, f.entries[0], testKey("k"))
+		mustSettle(t, f.entries[0], g, doneOutcome)
 		if err := f.entries[0].Settle(t.Context(), g, Outcome{Kind: OutcomeNotRun}); !errors.Is(err, ErrAlreadySettled) {
-			t.Errorf("second settle: %v, want ErrSettled", err)
+			t.Errorf("second settle: %v, want ErrAlreadySettled", err)
 		}
 	})
 }
 
-// Symptom: a caller is told "not run" through an outage, of a confirmation that
-// ran before it. Sequence: claim and run, store down, resend at another entry.
-// Cause: an entry that takes "I did not run it" for "it did not run".
-func TestOutageRefusalsAreTrue(t *testing.T) {
+// Guards against an entry that reports "not run" during a store outage for a
+// call that ran before it. The call is claimed and run, the store goes down,
+// and the resend reaches another entry. That this entry did not run the call
+// does not mean that it never ran.
+func TestRefusalsInStoreOutageAreCorrect(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		f := newFleet(t, 2, nil)
-		settle(t, f.entries[0], claim(t, f.entries[0], ownKey("ran")), done)
-		f.down(true)
-		_, err := f.entries[1].Claim(t.Context(), ownKey("ran"), Request{})
+		f := newTestCluster(t, 2, nil)
+		mustSettle(t, f.entries[0], mustClaim(t, f.entries[0], testKey("ran")), doneOutcome)
+		f.setStoreDown(true)
+		_, err := f.entries[1].Claim(t.Context(), testKey("ran"), Request{})
 		if !errors.Is(err, ErrUnverified) {
 			t.Errorf("resend in the outage: %v, want ErrUnverified", err)
 		}
-		_, err = f.entries[1].Claim(t.Context(), ownKey("new"), Request{FirstSend: true})
+		_, err = f.entries[1].Claim(t.Context(), testKey("new"), Request{FirstSend: true})
 		if !errors.Is(err, ErrNotRun) {
 			t.Errorf("first send in the outage: %v, want ErrNotRun", err)
 		}
 	})
 }
 
-// Symptom: no confirmation gets through a store outage. Sequence: store down,
-// calls under issued keys at the issuer and at another entry, resends, the
-// issuer dies, resend. Cause: every claim waits for the store.
-func TestIssuedKeysPassOutage(t *testing.T) {
+// Guards against claims of issued keys that wait for the store: with the store
+// down, calls under issued keys must work at the issuer and through another
+// entry. Resends, also after the issuer is gone, must not be granted.
+func TestIssuedKeysNeedNoStore(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		f := newFleet(t, 2, nil)
-		f.down(true)
-		atIssuer, atOther := ownKey(f.entries[0].Issue(testWorkspace)), ownKey(f.entries[0].Issue(testWorkspace))
-		first := claim(t, f.entries[0], atIssuer)
-		second := claim(t, f.entries[1], atOther)
+		f := newTestCluster(t, 2, nil)
+		f.setStoreDown(true)
+		atIssuer, atOther := testKey(f.entries[0].Issue(testWorkspace)), testKey(f.entries[0].Issue(testWorkspace))
+		first := mustClaim(t, f.entries[0], atIssuer)
+		second := mustClaim(t, f.entries[1], atOther)
 		if !first.Fresh || !second.Fresh {
-			t.Fatalf("in the outage: %+v, %+v", first, second)
+			t.Fatalf("first claims in the outage: %+v, %+v, want both fresh", first, second)
 		}
 		for _, k := range []Key{atIssuer, atOther} {
-			if g := claim(t, f.entries[1], k); g.Fresh {
-				t.Errorf("resend of %v granted", k)
+			if g := mustClaim(t, f.entries[1], k); g.Fresh {
+				t.Errorf("resend of %v was granted", k)
 			}
 		}
-		f.cut["a"] = true
+		f.unreachable["a"] = true
 		_, err := f.entries[1].Claim(t.Context(), atIssuer, Request{})
 		if !errors.Is(err, ErrUnverified) {
-			t.Errorf("issuer gone: %v, want ErrUnverified", err)
+			t.Errorf("resend with the issuer gone: %v, want ErrUnverified", err)
 		}
-		f.down(false)
-		settle(t, f.entries[1], second, done)
-		if g := claim(t, f.entries[1], atOther); g.Prior.State != Done {
-			t.Errorf("issuer gone, outcome on record: %+v", g)
+		f.setStoreDown(false)
+		mustSettle(t, f.entries[1], second, doneOutcome)
+		if g := mustClaim(t, f.entries[1], atOther); g.Prior.State != Done {
+			t.Errorf("resend with the issuer gone and the outcome recorded: %+v, want Done", g)
 		}
 	})
 }
 
-// Symptom: a restarted entry runs a confirmation again. Sequence: it issues a
-// key, runs the call, restarts under the same name, the caller sends again.
-// Cause: a key bound to the entry's name and not to its incarnation.
-func TestIssuedKeyDiesWithIncarnation(t *testing.T) {
+// Guards against a key that is bound to the entry's name and not to its
+// incarnation: an entry issues a key, runs the call and restarts under the same
+// name, and the caller resends.
+func TestIssuedKeyIsNotGrantedAfterRestart(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		f := newFleet(t, 1, nil)
-		k := ownKey(f.entries[0].Issue(testWorkspace))
-		claim(t, f.entries[0], k)
-		f.forget(f.entries[0].Issuer())
+		f := newTestCluster(t, 1, nil)
+		k := testKey(f.entries[0].Issue(testWorkspace))
+		mustClaim(t, f.entries[0], k)
+		f.remove(f.entries[0].Issuer())
 		restarted := f.start(t, "a", nil)
 		restarted.Issue(testWorkspace)
 		if _, err := restarted.Claim(t.Context(), k, Request{}); !errors.Is(err, ErrUnverified) {
@@ -125,19 +126,19 @@
 	})
 }
 
-func TestForgedIssuedKeys(t *testing.T) {
-	f := newFleet(t, 1, nil)
+func TestForgedIssuedKeysAreRejected(t *testing.T) {
+	f := newTestCluster(t, 1, nil)
 	c := f.entries[0]
 	used := c.Issue(testWorkspace)
-	if g := claim(t, c, ownKey(used)); !g.Fresh {
+	if g := mustClaim(t, c, testKey(used)); !g.Fresh {
 		t.Fatal("issued key refused")
 	}
 	forged := []Key{
-		ownKey(issuedKey(c.Issuer(), 99)),
-		ownKey("bt1/"),
-		ownKey("bt1/a/b"),
-		ownKey(used + "/"),
-		ownKey("bt1/a/" + c.Issuer().Incarnation + "/01"),
+		testKey(issuedKey(c.Issuer(), 99)),
+		testKey("bt1/"),
+		testKey("bt1/a/b"),
+		testKey(used + "/"),
+		testKey("bt1/a/" + c.Issuer().Incarnation + "/01"),
 		{Workspace: "other", IdempotencyKey: used},
 		{Workspace: "other", IdempotencyKey: c.Issue(testWorkspace)}, // not used yet
 	}
@@ -148,49 +149,49 @@
 	}
 }
 
-// Symptom: a call that was refused can never be sent again. Sequence: the claim's
-// write lands, its answer is lost, the store goes down before the read back.
-// Cause: the claim stays on record with nobody to run it.
+// Guards against a refused claim that stays recorded, so that its call can
+// never be sent again. The claim's write takes effect, its response is lost, and
+// the store goes down before the shard is read back.
 func TestRefusedClaimIsReleased(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		f := newFleet(t, 1, nil)
-		settle(t, f.entries[0], claim(t, f.entries[0], ownKey("warm")), done)
+		f := newTestCluster(t, 1, nil)
+		mustSettle(t, f.entries[0], mustClaim(t, f.entries[0], testKey("warm")), doneOutcome)
 		time.Sleep(time.Second)
 		f.store.SetFaults(standin.Faults{LoseNext: 1})
 		slow := &downAfterUpdate{Memory: f.store}
 		f.entries[0].cfg.Store = slow
-		_, err := f.entries[0].Claim(t.Context(), ownKey("k"), Request{})
+		_, err := f.entries[0].Claim(t.Context(), testKey("k"), Request{})
 		if !errors.Is(err, ErrNotRun) {
 			t.Fatalf("got %v, want ErrNotRun", err)
 		}
-		f.down(false)
+		f.setStoreDown(false)
 		f.entries[0].cfg.Store = f.store
 		if err := f.entries[0].Flush(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if g := claim(t, f.entries[0], ownKey("k")); !g.Fresh {
+		if g := mustClaim(t, f.entries[0], testKey("k")); !g.Fresh {
 			t.Errorf("resend: %+v, want a fresh grant", g)
 		}
 	})
 }
 
-// Symptom: as above. Sequence: the caller's time is up while the write is on its
-// way, and the write lands. Cause: as above.
+// As above, but the caller's time runs out while the write is in progress, and
+// the write then takes effect.
 func TestAbandonedClaimIsReleased(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		f := newFleet(t, 1, nil)
-		settle(t, f.entries[0], claim(t, f.entries[0], ownKey("warm")), done)
+		f := newTestCluster(t, 1, nil)
+		mustSettle(t, f.entries[0], mustClaim(t, f.entries[0], testKey("warm")), doneOutcome)
 		time.Sleep(time.Second)
 		ctx, cancel := context.WithTimeout(t.Context(), 7*time.Millisecond)
 		defer cancel()
-		_, err := f.entries[0].Claim(ctx, ownKey("k"), Request{})
+		_, err := f.entries[0].Claim(ctx, testKey("k"), Request{})
 		if !errors.Is(err, ErrUnverified) {
 			t.Fatalf("got %v, want ErrUnverified", err)
 		}
 		if err := f.entries[0].Flush(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if g := claim(t, f.entries[0], ownKey("k")); !g.Fresh {
+		if g := mustClaim(t, f.entries[0], testKey("k")); !g.Fresh {
 			t.Errorf("resend: %+v, want a fresh grant", g)
 		}
 	})
@@ -205,28 +206,27 @@
 	return o, err
 }
 
-// Symptom: two entries look for one key in two shards, and it runs twice.
-// Sequence: an entry starts with another number of shards. Cause: a setting that
-// nothing compares.
-func TestOtherNumberOfShardsIsRefused(t *testing.T) {
+// Guards against an entry that starts with another number of shards: two
+// entries would look for one key in two shards, and it would run twice.
+func TestShardCountMismatchIsRejected(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		f := newFleet(t, 1, nil)
-		claim(t, f.entries[0], ownKey("k"))
+		f := newTestCluster(t, 1, nil)
+		mustClaim(t, f.entries[0], testKey("k"))
 		odd := f.start(t, "odd", func(c *Config) { c.Shards = DefaultShards + 1 })
-		if _, err := odd.Claim(t.Context(), ownKey("k"), Request{}); !errors.Is(err, ErrUnverified) {
+		if _, err := odd.Claim(t.Context(), testKey("k"), Request{}); !errors.Is(err, ErrUnverified) {
 			t.Errorf("got %v, want ErrUnverified", err)
 		}
 	})
 }
 
-// Symptom: the invariant against a second grant never fires, whatever happens.
-// Sequence: the record under a grant is replaced behind the entry's back.
-func TestSecondGrantIsSeen(t *testing.T) {
+// Guards against an invariant check that never fires: the record of a grant is
+// replaced without the entry's involvement.
+func TestSecondGrantIsDetected(t *testing.T) {
 	g := &group{name: "0000"}
-	s := &shard{Claims: map[string]entry{"h": {Mark: "other", State: Running}}}
+	s := &shard{Claims: map[string]keyRecord{"h": {Mark: "other", State: Running}}}
 	defer func() {
 		if recover() == nil {
-			t.Error("a second grant went unseen")
+			t.Error("second grant not detected")
 		}
 	}()
 	g.checkGrant(s, newOp(opSettle, "h", "mine"))
--- a/claim/codec.go
+++ b/claim/codec.go
@@ -12,39 +12,41 @@
 	"github.com/briarturn/briarturn/objectapi"
 )
 
-// packed is a shard's value as it is stored once it is over packAbove bytes:
-// deflated, for every write carries all of it and records resemble each other.
-type packed struct {
+// compressedValue is the stored form of a shard whose JSON is longer than
+// compressThreshold bytes. It is deflated because every write carries the whole
+// shard and its records are similar to one another.
+type compressedValue struct {
 	Deflated []byte `json:"z"`
 }
 
 const (
-	// packAbove keeps small values readable.
-	packAbove = 512
-	// packLevel takes a few tenths of a millisecond for a usual shard.
-	packLevel = flate.DefaultCompression
-	// maxUnpacked bounds what one value may unpack to, so that a broken one
-	// can't fill the memory.
-	maxUnpacked = 4 * objectapi.MaxValueBytes
+	// compressThreshold is the size in bytes up to which a value is stored as
+	// plain JSON, so that small values stay readable.
+	compressThreshold = 512
+	// compressLevel takes a few tenths of a millisecond for a typical shard.
+	compressLevel = flate.DefaultCompression
+	// maxDecompressedBytes limits the decompressed size of one value, so that a
+	// corrupt value can't exhaust memory.
+	maxDecompressedBytes = 4 * objectapi.MaxValueBytes
 )
 
-// packers are kept, for a new one takes a megabyte.
-var packers = sync.Pool{New: func() any {
-	w, err := flate.NewWriter(nil, packLevel)
+// flateWriters are pooled because a new one allocates a megabyte.
+var flateWriters = sync.Pool{New: func() any {
+	w, err := flate.NewWriter(nil, compressLevel)
 	if err != nil {
-		panic(err) // of a level that there is not
+		panic(err) // invalid compression level
 	}
 	return w
 }}
 
-// pack returns the value to store for a shard's JSON.
-func pack(plain []byte) (json.RawMessage, error) {
-	if len(plain) <= packAbove {
+// compress returns the value to store for a shard's JSON.
+func compress(plain []byte) (json.RawMessage, error) {
+	if len(plain) <= compressThreshold {
 		return plain, nil
 	}
 	var out bytes.Buffer
-	w := packers.Get().(*flate.Writer)
-	defer packers.Put(w)
+	w := flateWriters.Get().(*flate.Writer)
+	defer flateWriters.Put(w)
 	w.Reset(&out)
 	if _, err := w.Write(plain); err != nil {
 		return nil, errors.Trace(err)
@@ -52,24 +54,24 @@
 	if err := w.Close(); err != nil {
 		return nil, errors.Trace(err)
 	}
-	return json.Marshal(packed{Deflated: out.Bytes()})
+	return json.Marshal(compressedValue{Deflated: out.Bytes()})
 }
 
-// unpack reverses pack.
-func unpack(data json.RawMessage) ([]byte, error) {
-	var p packed
+// decompress reverses compress.
+func decompress(data json.RawMessage) ([]byte, error) {
+	var p compressedValue
 	if err := json.Unmarshal(data, &p); err != nil {
 		return nil, errors.Annotate(err, "step decode claim shard")
 	}
 	if p.Deflated == nil {
 		return data, nil
 	}
-	r := io.LimitReader(flate.NewReader(bytes.NewReader(p.Deflated)), maxUnpacked+1)
+	r := io.LimitReader(flate.NewReader(bytes.NewReader(p.Deflated)), maxDecompressedBytes+1)
 	plain, err := io.ReadAll(r)
 	if err != nil {
 		return nil, errors.Annotate(err, "step unpack claim shard")
 	}
-	if len(plain) > maxUnpacked {
+	if len(plain) > maxDecompressedBytes {
 		return nil, errors.Annotate(objectapi.ErrTooLarge, "step unpack claim shard")
 	}
 	return plain, nil
--- a/claim/commit.go
+++ b/claim/commit.go
@@ -11,140 +11,146 @@
 	"github.com/briarturn/briarturn/objectapi"
 )
 
-// contendedTimeouts is how many StoreTimeouts a group may take while its writes meet
-// others.
-const contendedTimeouts = 5
+// maxContendedTimeouts is how many times StoreTimeout a group may take while
+// its writes conflict with those of other entries.
+const maxContendedTimeouts = 5
 
 const errTooManyConflicts = errors.ConstError("too many conflicts")
 
-// commit brings one group into the shard by read and conditional write, again
-// and again until it lands or the store fails. It reports whether the store
-// worked.
+// commit applies one group to the shard by a read and a conditional write, and
+// repeats this until the write succeeds or the store fails. It reports whether
+// the store worked.
 //
-// A conflict shows that the store works, and gives the group its time anew: one
-// whose writes are slower than those of other entries loses many in a row.
+// A conflict shows that the store works, and restarts the group's StoreTimeout:
+// an entry whose writes are slower than those of other entries loses many in a
+// row.
 func (g *group) commit(batch []*op) bool {
 	if g.forwardSettlements(batch) {
 		return true
 	}
-	whole, cancel := context.WithTimeout(context.Background(), contendedTimeouts*g.c.cfg.StoreTimeout)
+	groupCtx, cancel := context.WithTimeout(context.Background(), maxContendedTimeouts*g.claimer.cfg.StoreTimeout)
 	defer cancel()
-	limit := time.Now().Add(g.c.cfg.StoreTimeout)
+	limit := time.Now().Add(g.claimer.cfg.StoreTimeout)
 	var last *plan
-	ambiguous := false // a write of this group may have landed, or land late
+	ambiguous := false // a write of this group may have taken effect, or may do so later
 	var err error = errTooManyConflicts
-	for n := range g.c.cfg.MaxAttempts {
-		g.setStarted(g.c.now())
-		p, tryErr := g.tryUntil(whole, limit, batch)
+	for n := range g.claimer.cfg.MaxAttempts {
+		g.setTryStarted(g.claimer.now())
+		p, tryErr := g.tryCommitUntil(groupCtx, limit, batch)
 		if p != nil {
 			last = p
 		}
 		switch {
 		case tryErr == nil:
-			g.land(last)
-			g.adapt(n)
-			if len(last.expired) > 0 {
-				go g.deleteExpired(last.expired)
+			g.completeGroup(last)
+			g.adjustSpacing(n)
+			if len(last.expiredSealed) > 0 {
+				go g.deleteExpired(last.expiredSealed)
 			}
 			return true
-		case isConflict(tryErr):
-			g.c.m.conflicts.Inc(1)
+		case isWriteConflict(tryErr):
+			g.claimer.counters.storeConflicts.Inc(1)
 			if p != nil {
-				g.deleteOrphan(whole, p)
+				g.deleteOrphan(groupCtx, p)
 			}
-			g.pause(whole, n)
-			limit = time.Now().Add(g.c.cfg.StoreTimeout)
+			g.waitAfterConflict(groupCtx, n)
+			limit = time.Now().Add(g.claimer.cfg.StoreTimeout)
 			continue
 		case errors.Is(tryErr, objectapi.ErrOutcomeUnknown):
-			g.c.m.answersLost.Inc(1)
+			g.claimer.counters.storeResponsesLost.Inc(1)
 			ambiguous = true
-			markSent(batch)
+			markMaybeWritten(batch)
 			err = tryErr
 			continue
 		}
-		g.giveUp(batch, last, tryErr, ambiguous)
+		g.failGroup(batch, last, tryErr, ambiguous)
 		return false
 	}
-	g.giveUp(batch, last, err, ambiguous)
+	g.failGroup(batch, last, err, ambiguous)
 	return false
 }
 
-// maxSpread bounds how far entries that write one shard give way to each other;
-// jitterPart of an interval is added at random, so that they don't keep in step.
+// maxIntervalFactor and maxIntervalFactorWithPeers limit how far entries that
+// write one shard space out their groups, in multiples of MinGroupInterval. A
+// random extra of up to 1/jitterDivisor of the interval keeps entries from
+// writing in step.
 const (
-	maxSpread       = 16
-	maxServedSpread = 4
-	jitterPart      = 8
+	maxIntervalFactor          = 16
+	maxIntervalFactorWithPeers = 4
+	jitterDivisor              = 8
 )
 
-// maxSpread is less where claims are forwarded here: their senders would stop
-// waiting for a group that starts too late, write themselves, and meet in more
-// conflicts than the spread avoids.
-func (g *group) maxSpread() int {
-	if g.c.cfg.Peers != nil {
-		return maxServedSpread
+// maxIntervalFactorNow returns the limit of intervalFactor. It is lower where
+// peers forward claims to this entry: for a group that starts too late, their
+// senders would stop waiting and write themselves, which causes more conflicts
+// than the spacing avoids.
+func (g *group) maxIntervalFactorNow() int {
+	if g.claimer.cfg.Peers != nil {
+		return maxIntervalFactorWithPeers
 	}
-	return maxSpread
+	return maxIntervalFactor
 }
 
-// adapt spaces groups further apart when their writes met others, and slowly
-// closer again: many entries on one shard would otherwise spend the store's
-// writes on conflicts.
-func (g *group) adapt(conflicts int) {
+// adjustSpacing increases the interval between groups after conflicts with
+// other entries and slowly decreases it afterwards. Otherwise many entries on
+// one shard would spend the store's writes on conflicts.
+func (g *group) adjustSpacing(conflicts int) {
 	switch {
 	case conflicts > 1:
-		g.spread = min(2*g.spread, g.maxSpread())
-	case conflicts == 0 && g.spread > 1:
-		g.spread--
+		g.intervalFactor = min(2*g.intervalFactor, g.maxIntervalFactorNow())
+	case conflicts == 0 && g.intervalFactor > 1:
+		g.intervalFactor--
 	}
 }
 
-// pause waits at random after the nth conflict of a group, longer each time, so
-// that entries whose writes met do not meet again.
-func (g *group) pause(ctx context.Context, n int) {
-	longest := g.c.cfg.MinGroupInterval / conflictPart << min(n, maxConflictShift)
+// waitAfterConflict waits a random time after the nth conflict of a group, with
+// a limit that grows with n, so that entries whose writes conflicted do not
+// conflict again.
+func (g *group) waitAfterConflict(ctx context.Context, n int) {
+	longest := g.claimer.cfg.MinGroupInterval / conflictDelayDivisor << min(n, maxConflictShift)
 	select {
 	case <-ctx.Done():
 	case <-time.After(time.Duration(rand.Int64N(int64(longest) + 1))):
 	}
 }
 
-// conflictPart of MinGroupInterval is the longest wait after a first conflict, and
-// maxConflictShift bounds how often it doubles.
+// The longest wait after a first conflict is
+// MinGroupInterval/conflictDelayDivisor. It doubles with each further conflict,
+// at most maxConflictShift times.
 const (
-	conflictPart     = 4
-	maxConflictShift = 4
+	conflictDelayDivisor = 4
+	maxConflictShift     = 4
 )
 
-func markSent(batch []*op) {
+func markMaybeWritten(batch []*op) {
 	for _, o := range batch {
-		o.sent = true
+		o.maybeWritten = true
 	}
 }
 
-func (g *group) tryUntil(ctx context.Context, limit time.Time, batch []*op) (*plan, error) {
+func (g *group) tryCommitUntil(ctx context.Context, limit time.Time, batch []*op) (*plan, error) {
 	ctx, cancel := context.WithDeadline(ctx, limit)
 	defer cancel()
-	return g.try(ctx, batch)
+	return g.tryCommit(ctx, batch)
 }
 
-// try reads the shard once, applies the group and writes. The plan is nil if
-// the read failed. A group whose earlier write landed without an answer finds
-// its own marks and writes nothing.
-func (g *group) try(ctx context.Context, batch []*op) (*plan, error) {
-	if err := g.c.layout.check(ctx); err != nil {
+// tryCommit reads the shard once, applies the group and writes the shard. The
+// plan is nil if the read failed. A group whose earlier write took effect
+// without an response finds its own marks and writes nothing.
+func (g *group) tryCommit(ctx context.Context, batch []*op) (*plan, error) {
+	if err := g.claimer.layout.check(ctx); err != nil {
 		return nil, err
 	}
-	s, version, err := g.read(ctx)
+	s, version, err := g.readShard(ctx)
 	if err != nil {
 		return nil, err
 	}
-	view, err := g.sealed.load(ctx, g.c, s.Sealed)
+	view, err := g.sealed.loadView(ctx, g.claimer, s.Sealed)
 	if err != nil {
 		return nil, err
 	}
-	p := g.plan(s, view, batch)
-	if !p.dirty {
+	p := g.buildPlan(s, view, batch)
+	if !p.needsWrite {
 		return p, nil
 	}
 	g.dropExpired(s, p)
@@ -159,19 +165,20 @@
 	if err != nil {
 		return p, err
 	}
-	return p, g.write(ctx, data, version)
+	return p, g.writeShard(ctx, data, version)
 }
 
-func isConflict(err error) bool {
+func isWriteConflict(err error) bool {
 	return errors.Is(err, objectapi.ErrConflict) ||
 		errors.Is(err, objectapi.ErrExists) ||
 		errors.Is(err, objectapi.ErrNotFound)
 }
 
-// read returns the shard and its version; zero if there is no object yet.
-func (g *group) read(ctx context.Context) (*shard, uint64, error) {
-	g.c.m.reads.Inc(1)
-	obj, err := g.c.cfg.Store.Get(ctx, Kind, g.name)
+// readShard returns the shard and its version, which is 0 if there is no object
+// yet.
+func (g *group) readShard(ctx context.Context) (*shard, uint64, error) {
+	g.claimer.counters.storeReads.Inc(1)
+	obj, err := g.claimer.cfg.Store.Get(ctx, Kind, g.name)
 	if errors.Is(err, objectapi.ErrNotFound) {
 		s, err := decodeShard(nil)
 		return s, 0, err
@@ -183,79 +190,81 @@
 	return s, obj.Version, err
 }
 
-func (g *group) write(ctx context.Context, data json.RawMessage, version uint64) error {
-	g.c.m.writes.Inc(1)
+func (g *group) writeShard(ctx context.Context, data json.RawMessage, version uint64) error {
+	g.claimer.counters.storeWrites.Inc(1)
 	var err error
 	if version == 0 {
-		_, err = g.c.cfg.Store.Create(ctx, Kind, g.name, data)
+		_, err = g.claimer.cfg.Store.Create(ctx, Kind, g.name, data)
 	} else {
-		_, err = g.c.cfg.Store.Update(ctx, Kind, g.name, data, version)
+		_, err = g.claimer.cfg.Store.Update(ctx, Kind, g.name, data, version)
 	}
 	return errors.Annotatef(err, "step write claim shard %s", g.name)
 }
 
-// land answers a group that is on record.
-func (g *group) land(p *plan) {
-	g.c.m.landed.Inc(int64(len(p.granted) + len(p.settled)))
+// completeGroup returns the results of a group whose write took effect.
+func (g *group) completeGroup(p *plan) {
+	g.claimer.counters.opsCommitted.Inc(int64(len(p.granted) + len(p.settled)))
 	for o, r := range p.results {
-		o.answer <- r
+		o.resultCh <- r
 	}
-	for _, o := range p.refused {
-		o.answer <- result{err: errors.Annotatef(ErrNotRun, "step claim, shard %s is full", g.name)}
+	for _, o := range p.overCapacity {
+		o.resultCh <- result{err: errors.Annotatef(ErrNotRun, "step claim, shard %s is full", g.name)}
 	}
 	for _, o := range p.granted {
-		g.answerGranted(o)
+		g.completeClaim(o)
 	}
 	for _, o := range p.settled {
-		o.answer <- result{}
+		o.resultCh <- result{}
 	}
 }
 
-// answerGranted answers a claim that is on record; if its caller has gone, it
-// is released.
-func (g *group) answerGranted(o *op) {
+// completeClaim returns the result of a recorded claim. If its caller has
+// stopped waiting, the claim is released.
+func (g *group) completeClaim(o *op) {
 	g.mu.Lock()
 	gone := o.abandoned
-	o.answer <- result{verdict: grant}
+	o.resultCh <- result{verdict: verdictGrant}
 	g.mu.Unlock()
-	if gone && !o.served {
+	if gone && !o.fromPeer {
 		g.release(o)
 	}
 }
 
-// giveUp ends a group that did not land. Claims are answered by what the last
-// reading showed: a record of another call; or none, and then nothing had run
-// when it was read, after the call came in; or there was no reading. Settlements
-// are facts and stay queued, here or at the entry that forwarded them. A claim that a lost answer may have put on record
-// is released, for it is refused to its caller here.
-func (g *group) giveUp(batch []*op, last *plan, cause error, ambiguous bool) {
+// failGroup ends a group that was not recorded. The result of a claim follows
+// from the last read of the shard: the record of another call, if there was
+// one; ErrNotRun if there was none, because nothing had run when the shard was
+// read after the call came in; or ErrUnverified if no read succeeded.
+// Settlements record what has happened and stay queued, here or at the entry that forwarded
+// them. A claim that was refused here but may be recorded, because a write's
+// response was lost, is released.
+func (g *group) failGroup(batch []*op, last *plan, cause error, ambiguous bool) {
 	absent := map[*op]bool{}
 	if last != nil {
 		for _, o := range last.granted {
 			absent[o] = true
 		}
-		for _, o := range last.waiting {
+		for _, o := range last.dependent {
 			absent[o] = true
 			delete(last.results, o)
 		}
 	}
 	for _, o := range batch {
-		if o.kind == opSettle && !o.served {
-			g.requeue(o)
+		if o.kind == opSettle && !o.fromPeer {
+			g.enqueueSettlement(o)
 			continue
 		}
-		if ambiguous && o.served {
-			o.answer <- result{err: errors.Annotatef(errUnsure, "step write, shard %s", g.name)}
-			continue // its sender settles it through the store
+		if ambiguous && o.fromPeer {
+			o.resultCh <- result{err: errors.Annotatef(errOutcomeUncertain, "step write, shard %s", g.name)}
+			continue // the sender settles it through the store
 		}
-		o.answer <- g.refusal(o, last, absent[o], cause)
+		o.resultCh <- g.failureResult(o, last, absent[o], cause)
 		if ambiguous && o.kind == opClaim {
 			g.release(o)
 		}
 	}
 }
 
-func (g *group) refusal(o *op, last *plan, absent bool, cause error) result {
+func (g *group) failureResult(o *op, last *plan, absent bool, cause error) result {
 	if last != nil {
 		if r, ok := last.results[o]; ok {
 			return r
--- a/claim/explore_test.go
+++ b/claim/explore_test.go
@@ -1,7 +1,7 @@
 package claim
 
-// explore visits every state that can be reached and returns their number and
-// the first violation found, empty if there is none.
+// explore visits every reachable state and returns their number and the first
+// violation found, or "" if there is none.
 func explore[S comparable](start S, next func(S, func(S)), check func(S) string) (states int, violation string) {
 	seen := map[S]struct{}{start: {}}
 	queue := []S{start}
--- a/claim/forward.go
+++ b/claim/forward.go
@@ -10,13 +10,14 @@
 	"github.com/juju/errors"
 )
 
-// Forwarding brings the changes of one shard to one entry, its preferred
-// writer, so that a write carries more of them and meets fewer others. Nothing
-// of the safety rests on who that is: the preferred writer makes the same
-// conditional write that any entry may make, under the mark of the claim's own
-// entry. Only that entry dispatches, and only it takes the claim back.
+// Forwarding sends the changes of one shard to one entry, its preferred writer,
+// so that each write carries more of them and conflicts with fewer others.
+// Safety does not depend on which entry that is: the preferred writer makes the
+// same conditional write that any entry may make, with the mark of the claim's
+// own entry. Only that entry dispatches the call, and only that entry releases
+// the claim.
 
-// ChangeKind is what a Change does to a shard.
+// ChangeKind is the kind of a Change.
 type ChangeKind uint8
 
 // Kinds of change.
@@ -25,74 +26,77 @@
 	ChangeSettle
 )
 
-// Change is one change of a shard on its way to the preferred writer.
+// Change is one change of a shard, as sent to the preferred writer.
 type Change struct {
 	Kind         ChangeKind
-	Hash         string // of workspace and key
-	Mark         string // unique to one claim; every path that a claim takes carries it
+	Hash         string // hash of workspace and key
+	Mark         string // unique to one claim, and the same on every path that the claim takes
 	Outcome      Outcome
-	Issued       bool // the outcome of an issued key, whose claim is not on record
-	WithdrawMark bool // no claim with this mark may be recorded any more
+	Issued       bool // the outcome of an issued key, whose claim is not recorded in the shard
+	WithdrawMark bool // no claim with this mark may be recorded from now on
 }
 
 // Batch is what one entry sends to a shard's preferred writer.
 type Batch struct {
 	Shard     string
-	Shards    int       // number of shards as set at the sender
-	ExpiresAt time.Time // by wall clocks: no claim of the batch is recorded on a later reading
+	Shards    int       // number of shards configured at the sender
+	ExpiresAt time.Time // wall-clock time; a read of the shard after it records no claim of the batch
 	Changes   []Change
 }
 
-// ChangeResultKind is what became of a Change.
+// ChangeResultKind is the result of a Change.
 type ChangeResultKind uint8
 
-// Kinds of answer. With ResultUncertain the change may be on record, now or later.
+// Kinds of result. With ResultUncertain the change may be recorded, now or
+// later.
 const (
 	ResultUncertain ChangeResultKind = iota
-	ResultGranted                    // on record
-	ResultPrior                      // another claim is on record; Prior tells of it
-	ResultNotRun                     // not on record, nor will it be; nothing had run
-	ResultSettled                    // on record
-	ResultRefused                    // not on record, nor will it be; the store is in trouble there
+	ResultGranted                    // recorded
+	ResultPrior                      // another claim is recorded; Prior holds its state
+	ResultNotRun                     // not recorded and will not be; nothing had run
+	ResultSettled                    // recorded
+	ResultRefused                    // not recorded and will not be; the writer's store calls are failing or slow
 )
 
-// ChangeResult is the preferred writer's answer to one Change.
+// ChangeResult is the preferred writer's result for one Change.
 type ChangeResult struct {
 	Kind  ChangeResultKind
 	Prior Prior
 }
 
 const (
-	// maxForwards is how many entries are asked before the claim's own entry
-	// writes.
-	maxForwards = 2
-	// forwardLife is how long after it was sent a forwarded claim may still be
+	// maxForwardAttempts is how many entries are asked before the claim's own
+	// entry writes.
+	maxForwardAttempts = 2
+	// forwardTTL is how long after sending a forwarded claim may still be
 	// recorded.
-	forwardLife = 30 * time.Second
-	// withdrawnLife is how long a shard remembers a withdrawn mark: forwardLife
-	// and ample room for wall clocks that differ.
-	withdrawnLife = 10 * time.Minute
-	// avoidFor is how long an entry that gave no answer isn't forwarded to, and
-	// for how long one whose store failed lets others write.
-	avoidFor = 5 * time.Second
+	forwardTTL = 30 * time.Second
+	// withdrawnTTL is how long a shard keeps a withdrawn mark: forwardTTL plus
+	// a wide margin for clock differences between entries.
+	withdrawnTTL = 10 * time.Minute
+	// backoffPeriod is how long nothing is forwarded to an entry that did not
+	// respond, and how long an entry refuses forwarded claims after its store
+	// failed.
+	backoffPeriod = 5 * time.Second
 )
 
-// errUnsure: a served change may be on record, now or later.
-const errUnsure = errors.ConstError("outcome of the write unknown")
+// errOutcomeUncertain: a change forwarded by a peer may be recorded, now or
+// later.
+const errOutcomeUncertain = errors.ConstError("outcome of the write unknown")
 
-// avoided remembers the entries that gave no answer.
-type avoided struct {
+// peerBackoff holds the entries that recently did not respond.
+type peerBackoff struct {
 	mu    sync.Mutex // guards until
 	until map[string]time.Time
 }
 
-func (a *avoided) add(entry string, until time.Time) {
+func (a *peerBackoff) add(entry string, until time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.until[entry] = until
 }
 
-func (a *avoided) has(entry string, now time.Time) bool {
+func (a *peerBackoff) active(entry string, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	until, ok := a.until[entry]
@@ -102,134 +106,136 @@
 	return ok && now.Before(until)
 }
 
-// writer returns the entry to forward a shard's changes to, by rendezvous
-// hashing over the live entries, and false if this entry writes itself. It does
-// so until it has seen that its number of shards is the one on record.
-func (g *group) writer() (string, bool) {
-	if g.c.cfg.Peers == nil || !g.c.layout.agreed.Load() {
+// preferredWriter returns the entry to forward a shard's changes to, by
+// rendezvous hashing over the live entries, and false if this entry writes
+// itself. It returns false until this entry has verified its number of shards
+// against the one in the store.
+func (g *group) preferredWriter() (string, bool) {
+	if g.claimer.cfg.Peers == nil || !g.claimer.layout.verified.Load() {
 		return "", false
 	}
-	now := g.c.now()
+	now := g.claimer.now()
 	best, bestScore := "", uint64(0)
-	for _, entry := range g.c.cfg.Peers.CandidateWriters() {
+	for _, entry := range g.claimer.cfg.Peers.CandidateWriters() {
 		score := g.score(entry)
-		if (best == "" || score > bestScore) && !g.c.avoid.has(entry, now) {
+		if (best == "" || score > bestScore) && !g.claimer.peerBackoff.active(entry, now) {
 			best, bestScore = entry, score
 		}
 	}
-	return best, best != "" && best != g.c.cfg.Entry
+	return best, best != "" && best != g.claimer.cfg.Entry
 }
 
 func (g *group) score(entry string) uint64 { return xxhash.Sum64String(g.name + "/" + entry) }
 
-// keeps reports whether this entry is the shard's preferred writer or would be
-// the next.
-func (g *group) keeps() bool {
-	if g.c.cfg.Peers == nil {
+// keepsIndex reports whether this entry is the shard's preferred writer or the
+// next in line.
+func (g *group) keepsIndex() bool {
+	if g.claimer.cfg.Peers == nil {
 		return true
 	}
-	mine, before := g.score(g.c.cfg.Entry), 0
-	for _, entry := range g.c.cfg.Peers.CandidateWriters() {
-		if g.score(entry) > mine {
-			before++
+	ownScore, higherScores := g.score(g.claimer.cfg.Entry), 0
+	for _, entry := range g.claimer.cfg.Peers.CandidateWriters() {
+		if g.score(entry) > ownScore {
+			higherScores++
 		}
 	}
-	return before < keepers
+	return higherScores < indexKeepers
 }
 
-// keepers is how many entries keep the index of a shard's sealed objects, so
-// that the next one can take over at once.
-const keepers = 2
+// indexKeepers is how many entries keep the index of a shard's sealed objects,
+// so that the next writer can take over at once.
+const indexKeepers = 2
 
-// forward sends changes to one entry. An error or an answer that is missing
-// leaves them unsure.
+// forward sends changes to one entry. If it returns an error, or a result is
+// missing, the outcome of the changes is uncertain.
 func (g *group) forward(ctx context.Context, entry string, changes []Change) ([]ChangeResult, error) {
-	g.c.m.forwarded.Inc(int64(len(changes)))
-	answers, err := g.c.cfg.Peers.Forward(ctx, entry, Batch{
+	g.claimer.counters.forwarded.Inc(int64(len(changes)))
+	results, err := g.claimer.cfg.Peers.Forward(ctx, entry, Batch{
 		Shard:     g.name,
-		Shards:    len(g.c.groups),
-		ExpiresAt: g.c.now().Add(forwardLife),
+		Shards:    len(g.claimer.groups),
+		ExpiresAt: g.claimer.now().Add(forwardTTL),
 		Changes:   changes,
 	})
-	if err == nil && len(answers) != len(changes) {
-		err = errors.NotValidf("%d answers to %d changes", len(answers), len(changes))
+	if err == nil && len(results) != len(changes) {
+		err = errors.NotValidf("%d results for %d changes", len(results), len(changes))
 	}
 	if err != nil {
-		g.c.m.forwardsLost.Inc(1)
-		g.c.avoid.add(entry, g.c.now().Add(avoidFor))
+		g.claimer.counters.forwardsLost.Inc(1)
+		g.claimer.peerBackoff.add(entry, g.claimer.now().Add(backoffPeriod))
 	}
-	return answers, errors.Annotatef(err, "step forward claims, shard %s, peer %s", g.name, entry)
+	return results, errors.Annotatef(err, "step forward claims, shard %s, peer %s", g.name, entry)
 }
 
 // forwardClaim asks the preferred writers in turn. It returns false if none
-// gave a certain answer: the claim is then settled through the store, under the
-// same mark, by this entry's own group.
+// gave a certain result; this entry's own group then settles the claim through
+// the store, with the same mark.
 func (g *group) forwardClaim(ctx context.Context, o *op) (result, bool) {
-	for range maxForwards {
-		entry, ok := g.writer()
+	for range maxForwardAttempts {
+		entry, ok := g.preferredWriter()
 		if !ok || ctx.Err() != nil {
 			return result{}, false
 		}
-		sending, cancel := context.WithTimeout(ctx, g.c.cfg.ForwardTimeout)
-		answers, err := g.forward(sending, entry, []Change{{Kind: ChangeClaim, Hash: o.hash, Mark: o.mark}})
+		sending, cancel := context.WithTimeout(ctx, g.claimer.cfg.ForwardTimeout)
+		results, err := g.forward(sending, entry, []Change{{Kind: ChangeClaim, Hash: o.hash, Mark: o.mark}})
 		cancel()
-		if err == nil && answers[0].Kind != ResultUncertain {
-			return o.forwardResult(answers[0], entry)
+		if err == nil && results[0].Kind != ResultUncertain {
+			return o.forwardResult(results[0], entry)
 		}
-		o.forwarded = true
+		o.forwardUncertain = true
 		if err == nil {
-			return result{}, false // the store is in trouble, not the entry
+			return result{}, false // the entry responded; its store is failing
 		}
 	}
 	return result{}, false
 }
 
-// forwardResult is the result of a certain answer. One that came after another
-// entry was asked in vain is as certain: the mark is the same.
+// forwardResult converts a result other than ResultUncertain. It is just as
+// certain if another entry was asked before without an response, because the mark
+// is the same.
 func (o *op) forwardResult(a ChangeResult, entry string) (result, bool) {
 	switch a.Kind {
 	case ResultGranted:
-		return result{verdict: granted}, true
+		return result{verdict: verdictAlreadyGranted}, true
 	case ResultPrior:
-		return result{verdict: refuse, prior: a.Prior}, true
+		return result{verdict: verdictRefuse, prior: a.Prior}, true
 	case ResultNotRun:
-		return result{verdict: refuse, err: errors.Annotatef(ErrNotRun, "step forward claim, peer %s", entry)}, true
+		return result{verdict: verdictRefuse, err: errors.Annotatef(ErrNotRun, "step forward claim, peer %s", entry)}, true
 	}
 	return result{}, false
 }
 
-// forwardSettlements sends a group of settlements on. It returns false if they
-// have to be written here, which does no harm where they are on record.
+// forwardSettlements forwards a group of settlements. It returns false if they
+// have to be written here, which is harmless for those already recorded.
 func (g *group) forwardSettlements(batch []*op) bool {
-	if slices.ContainsFunc(batch, func(o *op) bool { return o.kind != opSettle || o.served }) {
+	if slices.ContainsFunc(batch, func(o *op) bool { return o.kind != opSettle || o.fromPeer }) {
 		return false
 	}
-	entry, ok := g.writer()
+	entry, ok := g.preferredWriter()
 	if !ok {
 		return false
 	}
 	changes := make([]Change, 0, len(batch))
 	for _, o := range batch {
 		changes = append(changes, Change{Kind: ChangeSettle, Hash: o.hash, Mark: o.mark,
-			Outcome: o.outcome, Issued: o.issued, WithdrawMark: o.withdraw})
+			Outcome: o.outcome, Issued: o.issued, WithdrawMark: o.withdrawMark})
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), g.c.cfg.StoreTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), g.claimer.cfg.StoreTimeout)
 	defer cancel()
-	answers, err := g.forward(ctx, entry, changes)
-	markSent(batch)
+	results, err := g.forward(ctx, entry, changes)
+	markMaybeWritten(batch)
 	unsettled := func(a ChangeResult) bool { return a.Kind != ResultSettled }
-	if err != nil || slices.ContainsFunc(answers, unsettled) {
+	if err != nil || slices.ContainsFunc(results, unsettled) {
 		return false
 	}
 	for _, o := range batch {
-		o.answer <- result{}
+		o.resultCh <- result{}
 	}
 	return true
 }
 
-// ServeForward answers a peer's Forward: it brings the batch into the shard
-// with whatever else waits for it. It never takes a claim back on the sender's
-// behalf: the sender may have found it on record and be running the call.
+// ServeForward handles a peer's Forward call: it queues the batch for the
+// shard's next group. It never releases a claim on the sender's behalf, because
+// the sender may have found it recorded and be running the call.
 func (c *Claimer) ServeForward(ctx context.Context, b Batch) ([]ChangeResult, error) {
 	i := slices.IndexFunc(c.groups, func(g *group) bool { return g.name == b.Shard })
 	if i < 0 || b.Shards != len(c.groups) {
@@ -237,45 +243,47 @@
 	}
 	ops := make([]*op, 0, len(b.Changes))
 	for _, change := range b.Changes {
-		ops = append(ops, servedOp(change, b.ExpiresAt))
+		ops = append(ops, newPeerOp(change, b.ExpiresAt))
 	}
-	queued := !c.groups[i].inTrouble() && c.groups[i].add(ops...)
-	answers := make([]ChangeResult, len(ops))
+	queued := !c.groups[i].storeDegraded() && c.groups[i].enqueue(ops...)
+	results := make([]ChangeResult, len(ops))
 	for n, o := range ops {
-		answers[n] = ChangeResult{Kind: ResultRefused}
+		results[n] = ChangeResult{Kind: ResultRefused}
 		if queued {
-			answers[n] = c.awaitServed(ctx, c.groups[i], o)
+			results[n] = c.waitForPeerOp(ctx, c.groups[i], o)
 		}
 	}
-	return answers, nil
+	return results, nil
 }
 
-// inTrouble reports whether a forwarded claim had better not wait here: the last
-// group failed a moment ago or the store is slow to answer. Its sender would
-// stop waiting and could not tell whether the claim is on record.
-func (g *group) inTrouble() bool {
+// storeDegraded reports whether forwarded claims should be refused: the last
+// group failed less than backoffPeriod ago, or the store is slow to respond. The
+// sender would stop waiting and could not determine whether the claim is
+// recorded.
+func (g *group) storeDegraded() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now := g.c.now()
-	slow := !g.started.IsZero() && now.Sub(g.started) > g.c.cfg.ForwardTimeout/2
-	return slow || now.Sub(g.failed) < avoidFor
+	now := g.claimer.now()
+	slow := !g.tryStarted.IsZero() && now.Sub(g.tryStarted) > g.claimer.cfg.ForwardTimeout/2
+	return slow || now.Sub(g.lastFailure) < backoffPeriod
 }
 
-// setStarted notes that a try is on its way, or with the zero time that none
-// is; setFailed notes when one failed, or with the zero time that the last did not.
-func (g *group) setStarted(at time.Time) {
+// setTryStarted records when the current attempt started; the zero time means
+// that none is in progress. setLastFailure records when a group failed; the
+// zero time means that the last one did not.
+func (g *group) setTryStarted(at time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.started = at
+	g.tryStarted = at
 }
 
-func (g *group) setFailed(at time.Time) {
+func (g *group) setLastFailure(at time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.failed = at
+	g.lastFailure = at
 }
 
-func servedOp(change Change, until time.Time) *op {
+func newPeerOp(change Change, until time.Time) *op {
 	kind := opClaim
 	if change.Kind == ChangeSettle {
 		kind = opSettle
@@ -283,27 +291,27 @@
 	o := newOp(kind, change.Hash, change.Mark)
 	o.outcome = change.Outcome
 	o.issued = change.Issued
-	o.withdraw = change.WithdrawMark
-	o.served = true
-	o.until = until
+	o.withdrawMark = change.WithdrawMark
+	o.fromPeer = true
+	o.expiresAt = until
 	return o
 }
 
-func (c *Claimer) awaitServed(ctx context.Context, g *group, o *op) ChangeResult {
+func (c *Claimer) waitForPeerOp(ctx context.Context, g *group, o *op) ChangeResult {
 	select {
-	case r := <-o.answer:
-		return o.answerOf(c.unseal(ctx, o, r))
+	case r := <-o.resultCh:
+		return o.changeResult(c.loadSealedRecord(ctx, o, r))
 	case <-ctx.Done():
 	}
 	if r, ok := g.abandon(o); ok {
-		return o.answerOf(c.unseal(ctx, o, r))
+		return o.changeResult(c.loadSealedRecord(ctx, o, r))
 	}
 	return ChangeResult{}
 }
 
-func (o *op) answerOf(r result) ChangeResult {
+func (o *op) changeResult(r result) ChangeResult {
 	switch {
-	case errors.Is(r.err, errUnsure):
+	case errors.Is(r.err, errOutcomeUncertain):
 		return ChangeResult{}
 	case errors.Is(r.err, ErrNotRun):
 		return ChangeResult{Kind: ResultNotRun}
@@ -311,7 +319,7 @@
 		return ChangeResult{Kind: ResultRefused}
 	case o.kind == opSettle:
 		return ChangeResult{Kind: ResultSettled}
-	case r.verdict == refuse:
+	case r.verdict == verdictRefuse:
 		return ChangeResult{Kind: ResultPrior, Prior: r.prior}
 	}
 	return ChangeResult{Kind: ResultGranted}
--- a/claim/forward_test.go
+++ b/claim/forward_test.go
@@ -11,16 +11,17 @@
 	standin "github.com/briarturn/briarturn/internal/standin/objectapi"
 )
 
-// writerOf returns the preferred writer of a key's shard and another entry.
-func writerOf(t *testing.T, f *fleet, k Key) (writer, other *Claimer) {
+// writerAndOther returns the preferred writer of a key's shard and another
+// entry.
+func writerAndOther(t *testing.T, f *testCluster, k Key) (writer, other *Claimer) {
 	t.Helper()
 	for _, c := range f.entries {
 		if err := c.Preload(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if name, elsewhere := c.group(k.hash()).writer(); elsewhere {
+		if name, elsewhere := c.groupFor(k.hash()).preferredWriter(); elsewhere {
 			other = c
-			writer, _ = f.named(name)
+			writer, _ = f.claimerOf(name)
 		}
 	}
 	if writer == nil || other == nil {
@@ -29,43 +30,43 @@
 	return writer, other
 }
 
-func count(c *Claimer, name string) int64 {
+func counterValue(c *Claimer, name string) int64 {
 	return c.cfg.Metrics.Get("claim." + name).(interface{ Count() int64 }).Count()
 }
 
 func TestClaimsAreForwarded(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		f := newFleet(t, 3, nil)
-		k := ownKey("k")
-		writer, other := writerOf(t, f, k)
-		g := claim(t, other, k)
-		settle(t, other, g, done)
-		if !g.Fresh || count(other, "store_writes") != 0 || count(writer, "ops_landed") != 2 {
-			t.Errorf("fresh %v, %d writes of its own, %d landed at the writer",
-				g.Fresh, count(other, "store_writes"), count(writer, "ops_landed"))
+		f := newTestCluster(t, 3, nil)
+		k := testKey("k")
+		writer, other := writerAndOther(t, f, k)
+		g := mustClaim(t, other, k)
+		mustSettle(t, other, g, doneOutcome)
+		if !g.Fresh || counterValue(other, "store_writes") != 0 || counterValue(writer, "ops_landed") != 2 {
+			t.Errorf("fresh %v, %d writes by the forwarding entry, %d ops committed at the writer",
+				g.Fresh, counterValue(other, "store_writes"), counterValue(writer, "ops_landed"))
 		}
-		if g := claim(t, writer, k); g.Prior.State != Done {
+		if g := mustClaim(t, writer, k); g.Prior.State != Done {
 			t.Errorf("resend: %+v", g)
 		}
 	})
 }
 
-// Symptom: a booking that is running is granted to a resend. Sequence: the
-// sender stops waiting for the preferred writer while its write is on its way,
-// finds its claim on record and runs the call. Cause: a writer that frees a
-// claim whose sender it holds for gone.
-func TestWriterLeavesClaimOfImpatientSender(t *testing.T) {
+// Guards against a preferred writer that releases a claim because it assumes
+// that the sender is gone. The sender stops waiting while the writer's write is
+// in progress, finds its claim recorded and runs the call; a resend would then
+// be granted.
+func TestWriterKeepsClaimAfterSenderTimeout(t *testing.T) {
 	for timeout := 2 * time.Millisecond; timeout < 20*time.Millisecond; timeout += time.Millisecond {
 		inBubble(t, func(t *testing.T) {
-			f := newFleet(t, 3, func(c *Config) { c.ForwardTimeout = timeout })
-			k := ownKey("k")
-			writer, other := writerOf(t, f, k)
-			settle(t, writer, claim(t, writer, ownKey("warm")), done)
+			f := newTestCluster(t, 3, func(c *Config) { c.ForwardTimeout = timeout })
+			k := testKey("k")
+			writer, other := writerAndOther(t, f, k)
+			mustSettle(t, writer, mustClaim(t, writer, testKey("warm")), doneOutcome)
 			time.Sleep(time.Second)
-			g := claim(t, other, k)
+			g := mustClaim(t, other, k)
 			time.Sleep(time.Second)
 			for _, c := range f.entries {
-				if again := claim(t, c, k); !g.Fresh || again.Fresh || again.Prior.State != Running {
+				if again := mustClaim(t, c, k); !g.Fresh || again.Fresh || again.Prior.State != Running {
 					t.Errorf("timeout %v: first %v, resend %+v", timeout, g.Fresh, again)
 				}
 			}
@@ -73,56 +74,56 @@
 	}
 }
 
-// Symptom: no confirmation gets through from the death of the writer until
-// membership knows of it. Sequence: the writer is cut off and still listed.
-// Cause: a preferred writer that is taken for an owner.
-func TestWriterGone(t *testing.T) {
+// Guards against treating the preferred writer as the owner of a shard: the
+// writer is cut off but still listed, and claims must work until membership
+// detects its death.
+func TestUnreachableWriterIsBypassed(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		f := newFleet(t, 3, nil)
-		k := ownKey("k")
-		writer, other := writerOf(t, f, k)
-		f.cut[writer.cfg.Entry] = true
-		if g := claim(t, other, k); !g.Fresh {
+		f := newTestCluster(t, 3, nil)
+		k := testKey("k")
+		writer, other := writerAndOther(t, f, k)
+		f.unreachable[writer.cfg.Entry] = true
+		if g := mustClaim(t, other, k); !g.Fresh {
 			t.Errorf("got %+v", g)
 		}
-		f.cut[writer.cfg.Entry] = false
-		if g := claim(t, writer, k); g.Fresh {
-			t.Error("the writer granted it again")
+		f.unreachable[writer.cfg.Entry] = false
+		if g := mustClaim(t, writer, k); g.Fresh {
+			t.Error("the writer granted the key again")
 		}
 	})
 }
 
-// Symptom: a refused call can never be sent again. Sequence: its claim reaches
-// the writer after its sender has given up. Cause: a claim that nobody takes
-// back, as its sender did so before it was there.
+// Guards against a call that can never be sent again after it was refused. Its
+// claim reaches the writer after the sender has released it, so the claim would
+// be recorded with no entry to release it.
 func TestLateForwardedClaimIsNotRecorded(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		f := newFleet(t, 3, nil)
-		k := ownKey("k")
-		writer, other := writerOf(t, f, k)
-		late := Batch{Shard: other.group(k.hash()).name, Shards: DefaultShards, ExpiresAt: time.Now().Add(forwardLife)}
-		f.wire = nil
-		settle(t, other, claim(t, other, ownKey("warm")), done)
-		g := claim(t, other, k)
+		f := newTestCluster(t, 3, nil)
+		k := testKey("k")
+		writer, other := writerAndOther(t, f, k)
+		late := Batch{Shard: other.groupFor(k.hash()).name, Shards: DefaultShards, ExpiresAt: time.Now().Add(forwardTTL)}
+		f.lossyNet = nil
+		mustSettle(t, other, mustClaim(t, other, testKey("warm")), doneOutcome)
+		g := mustClaim(t, other, k)
 		late.Changes = []Change{{Kind: ChangeClaim, Hash: k.hash(), Mark: g.token.mark}}
-		g.token.forwarded = true // as if a first message was still on its way
-		settle(t, other, g, Outcome{Kind: OutcomeNotRun})
+		g.token.forwardUncertain = true // as if an earlier message was still in transit
+		mustSettle(t, other, g, Outcome{Kind: OutcomeNotRun})
 		if answers, err := writer.ServeForward(t.Context(), late); err != nil || answers[0].Kind != ResultUncertain {
-			t.Errorf("withdrawn: %+v, %v", answers, err)
+			t.Errorf("withdrawn mark: %+v, %v, want ResultUncertain", answers, err)
 		}
 		late.Changes[0].Mark = "another"
 		late.ExpiresAt = time.Now().Add(-time.Second)
 		if answers, err := writer.ServeForward(t.Context(), late); err != nil || answers[0].Kind != ResultUncertain {
-			t.Errorf("too late: %+v, %v", answers, err)
+			t.Errorf("expired batch: %+v, %v, want ResultUncertain", answers, err)
 		}
-		if g := claim(t, other, k); !g.Fresh {
+		if g := mustClaim(t, other, k); !g.Fresh {
 			t.Errorf("resend: %+v, want a fresh grant", g)
 		}
 	})
 }
 
-func TestForwardOfOtherLayoutIsRefused(t *testing.T) {
-	f := newFleet(t, 1, nil)
+func TestForwardWithOtherShardCountIsRejected(t *testing.T) {
+	f := newTestCluster(t, 1, nil)
 	for _, b := range []Batch{{Shard: "0000", Shards: DefaultShards + 1}, {Shard: "none", Shards: DefaultShards}} {
 		if _, err := f.entries[0].ServeForward(context.Background(), b); !errors.Is(err, ErrShardCountMismatch) {
 			t.Errorf("%+v: %v, want ErrShardCountMismatch", b, err)
@@ -130,35 +131,35 @@
 	}
 }
 
-// Symptom: after an outage of the store claims are refused, as the shard is full.
-// Sequence: calls through an entry that forwards, store down or slow, store up.
-// Cause: each refused call leaves a withdrawn mark, as its entry can't tell
-// whether the writer still holds its claim.
+// Guards against claims that are refused after a store outage because the shard
+// is full. During the outage each refused call of a forwarding entry leaves a
+// withdrawn mark if the entry can't determine whether the writer still holds
+// its claim.
 func TestOutageLeavesFewWithdrawnMarks(t *testing.T) {
 	const calls, few = 400, 40
 	for name, faults := range map[string]standin.Faults{"down": {Down: true}, "slow": {LatencyMS: 5_000}} {
 		inBubble(t, func(t *testing.T) {
-			f := newFleet(t, 3, func(c *Config) { c.Shards = 1 })
-			_, other := writerOf(t, f, ownKey("k"))
+			f := newTestCluster(t, 3, func(c *Config) { c.Shards = 1 })
+			_, other := writerAndOther(t, f, testKey("k"))
 			f.store.SetFaults(faults)
 			for i := range calls {
 				go func() {
 					ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 					defer cancel()
-					if g, err := other.Claim(ctx, ownKey(strconv.Itoa(i)), Request{}); err == nil {
+					if g, err := other.Claim(ctx, testKey(strconv.Itoa(i)), Request{}); err == nil {
 						t.Errorf("%s: %+v", name, g)
 					}
 				}()
 				time.Sleep(100 * time.Millisecond)
 			}
 			time.Sleep(10 * time.Second)
-			f.down(false)
+			f.setStoreDown(false)
 			for _, c := range f.entries {
 				if err := c.Flush(t.Context()); err != nil {
 					t.Fatal(err)
 				}
 			}
-			s, _, err := other.group(ownKey("k").hash()).read(t.Context())
+			s, _, err := other.groupFor(testKey("k").hash()).readShard(t.Context())
 			if err != nil || len(s.Withdrawn) > few {
 				t.Errorf("%s: %d withdrawn marks of %d calls, %v", name, len(s.Withdrawn), calls, err)
 			}
@@ -173,6 +174,6 @@
 		s.withdraw(strconv.Itoa(i), now.Add(time.Duration(i)*time.Second))
 	}
 	if len(s.Withdrawn) != maxWithdrawn || s.isWithdrawn("4") || !s.isWithdrawn("5") {
-		t.Errorf("%d marks, the oldest must go", len(s.Withdrawn))
+		t.Errorf("%d withdrawn marks, want the oldest dropped", len(s.Withdrawn))
 	}
 }
--- a/claim/group.go
+++ b/claim/group.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// opKind is what an op does to a shard.
+// opKind is the kind of an op.
 type opKind uint8
 
 const (
@@ -16,63 +16,63 @@
 	opSettle
 )
 
-// op is one change waiting for a group.
+// op is one change or lookup that waits for a group.
 type op struct {
-	kind    opKind
-	hash    string
-	mark    string
-	outcome Outcome // opSettle
-	issued  bool    // opSettle of an issued key
-	release bool    // opSettle of a claim that was refused to its caller
-	sent    bool    // an earlier write of it was sent and its answer lost
+	kind         opKind
+	hash         string
+	mark         string
+	outcome      Outcome // opSettle
+	issued       bool    // opSettle of an issued key
+	isRelease    bool    // opSettle that releases a claim whose caller was refused
+	maybeWritten bool    // an earlier write of it was sent and may have taken effect
 
-	forwarded bool      // opClaim: another entry may record it, now or late
-	withdraw  bool      // opSettle: no claim with the mark may be recorded any more
-	served    bool      // forwarded by another entry, which alone may take it back
-	until     time.Time // served opClaim: not recorded on a reading after it
+	forwardUncertain bool      // opClaim: another entry may have recorded it or may still do so
+	withdrawMark     bool      // opSettle: no claim with the mark may be recorded from now on
+	fromPeer         bool      // forwarded by another entry; only that entry may release it
+	expiresAt        time.Time // fromPeer opClaim: not recorded if the shard is read after this time
 
-	answer    chan result // buffered, so that a group never waits for a caller
-	abandoned bool        // guarded by group.mu: its caller has gone
+	resultCh  chan result // buffered, so that a group never blocks on a caller
+	abandoned bool        // guarded by group.mu: its caller has stopped waiting
 }
 
-// result of an op.
+// result is the result of an op.
 type result struct {
 	verdict verdict
 	prior   Prior
-	sealed  string // object that holds the record, if it is sealed
+	sealed  string // name of the sealed object that holds the record, if any
 	err     error
 }
 
 func newOp(kind opKind, hash, mark string) *op {
-	return &op{kind: kind, hash: hash, mark: mark, answer: make(chan result, 1)}
+	return &op{kind: kind, hash: hash, mark: mark, resultCh: make(chan result, 1)}
 }
 
-// group commits the ops of one shard, many in one write. At most one write of a
-// shard is on its way from this process.
+// group commits the ops of one shard, many in one write. This process has at
+// most one write of a shard in progress.
 type group struct {
-	c    *Claimer
-	name string
+	claimer *Claimer
+	name    string
 
-	mu       sync.Mutex // guards pending, running, started, failed and the ops' flags
-	pending  []*op
-	running  bool
-	started  time.Time     // when the try on its way set out; zero if none is
-	failed   time.Time     // when the last group that failed did
-	wake     chan struct{} // buffered by one: a claim or lookup came in
-	sealed   *sealedSet
-	failures int // owned by run
-	spread   int // owned by run: groups start spread times MinGroupInterval apart
+	mu             sync.Mutex // guards pending, running, tryStarted, lastFailure and the ops' flags
+	pending        []*op
+	running        bool
+	tryStarted     time.Time     // start of the current attempt; zero if none is in progress
+	lastFailure    time.Time     // time of the last failure; zero if the last group succeeded
+	claimQueued    chan struct{} // buffered by one: a claim or lookup was queued
+	sealed         *indexCache
+	failures       int // owned by run: failed groups since the last success
+	intervalFactor int // owned by run: groups start intervalFactor times MinGroupInterval apart
 }
 
 func newGroup(c *Claimer, name string) *group {
-	return &group{c: c, name: name, spread: 1, wake: make(chan struct{}, 1), sealed: newSealedSet()}
+	return &group{claimer: c, name: name, intervalFactor: 1, claimQueued: make(chan struct{}, 1), sealed: newIndexCache()}
 }
 
-// add queues ops. It returns false if the queue is full.
-func (g *group) add(ops ...*op) bool {
+// enqueue appends ops to the queue. It returns false if the queue is full.
+func (g *group) enqueue(ops ...*op) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(g.pending)+len(ops) > g.c.cfg.MaxPendingOps {
+	if len(g.pending)+len(ops) > g.claimer.cfg.MaxPendingOps {
 		return false
 	}
 	g.pending = append(g.pending, ops...)
@@ -81,7 +81,7 @@
 		return true
 	}
 	select {
-	case g.wake <- struct{}{}:
+	case g.claimQueued <- struct{}{}:
 	default:
 	}
 	return true
@@ -94,15 +94,15 @@
 	}
 }
 
-// abandon withdraws an op whose caller's time is up. If it was answered in the
-// meantime, the answer is returned. A claim that is on its way may still land:
-// it is released then, or else a resend would find a claim that nobody will
-// ever run.
+// abandon removes an op whose caller has stopped waiting. If the op has
+// completed in the meantime, its result is returned. A claim whose write is in
+// progress may still be recorded and is then released; otherwise a resend would
+// find a claim that is never run.
 func (g *group) abandon(o *op) (result, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	select {
-	case r := <-o.answer:
+	case r := <-o.resultCh:
 		return r, true
 	default:
 	}
@@ -113,8 +113,9 @@
 	return result{}, false
 }
 
-// take returns the ops of the next group, or nil and ends the run.
-func (g *group) take() []*op {
+// takeBatch returns the ops of the next group. If there are none, it returns
+// nil and marks the group as not running.
+func (g *group) takeBatch() []*op {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(g.pending) == 0 {
@@ -122,26 +123,26 @@
 		return nil
 	}
 	select {
-	case <-g.wake: // for a claim that this group takes
+	case <-g.claimQueued: // the claim is part of this batch
 	default:
 	}
 	batch := g.pending
-	if len(batch) > g.c.cfg.MaxGroupOps {
-		batch = batch[:g.c.cfg.MaxGroupOps]
+	if len(batch) > g.claimer.cfg.MaxGroupOps {
+		batch = batch[:g.claimer.cfg.MaxGroupOps]
 	}
 	g.pending = append([]*op(nil), g.pending[len(batch):]...)
 	return batch
 }
 
-// awaitCompany lets settlements wait a while for a claim whose write can carry
-// them: nobody's answer waits for a settlement.
-func (g *group) awaitCompany() {
+// waitForClaims delays settlements for up to SettleDelay, so that the write of
+// a claim can carry them: no response to a caller depends on a settlement.
+func (g *group) waitForClaims() {
 	if g.hasClaims() {
 		return
 	}
 	select {
-	case <-g.wake:
-	case <-time.After(g.c.cfg.SettleDelay):
+	case <-g.claimQueued:
+	case <-time.After(g.claimer.cfg.SettleDelay):
 	}
 }
 
@@ -151,64 +152,65 @@
 	return slices.ContainsFunc(g.pending, func(o *op) bool { return o.kind != opSettle })
 }
 
-// run commits groups until nothing waits. Groups start at least MinGroupInterval
-// apart; after failures further apart, so as not to load a store that is down.
+// run commits groups until the queue is empty. Groups start at least
+// MinGroupInterval apart, and further apart after failures, so as not to load a
+// store that is down.
 func (g *group) run() {
 	for {
-		g.awaitCompany()
-		batch := g.take()
+		g.waitForClaims()
+		batch := g.takeBatch()
 		if batch == nil {
 			return
 		}
-		started := g.c.now()
+		started := g.claimer.now()
 		if g.commit(batch) {
 			g.failures = 0
-			g.setFailed(time.Time{})
+			g.setLastFailure(time.Time{})
 		} else {
 			g.failures++
-			g.setFailed(g.c.now())
+			g.setLastFailure(g.claimer.now())
 		}
-		g.setStarted(time.Time{})
-		time.Sleep(g.interval() - g.c.now().Sub(started))
+		g.setTryStarted(time.Time{})
+		time.Sleep(g.nextInterval() - g.claimer.now().Sub(started))
 	}
 }
 
-func (g *group) interval() time.Duration {
-	d := g.c.cfg.MinGroupInterval * time.Duration(g.spread)
-	d += time.Duration(rand.Int64N(int64(d)/jitterPart + 1))
+func (g *group) nextInterval() time.Duration {
+	d := g.claimer.cfg.MinGroupInterval * time.Duration(g.intervalFactor)
+	d += time.Duration(rand.Int64N(int64(d)/jitterDivisor + 1))
 	for range g.failures {
 		d *= 2
-		if d >= g.c.cfg.MaxBackoff {
-			return g.c.cfg.MaxBackoff
+		if d >= g.claimer.cfg.MaxBackoff {
+			return g.claimer.cfg.MaxBackoff
 		}
 	}
 	return d
 }
 
 func (g *group) release(claimed *op) {
-	g.c.m.released.Inc(1)
+	g.claimer.counters.released.Inc(1)
 	o := newOp(opSettle, claimed.hash, claimed.mark)
 	o.outcome = Outcome{Kind: OutcomeNotRun}
-	o.release = true
-	o.withdraw = claimed.forwarded
-	g.requeue(o)
+	o.isRelease = true
+	o.withdrawMark = claimed.forwardUncertain
+	g.enqueueSettlement(o)
 }
 
-// requeue queues a settlement over the limit of pending ops, up to twice of it.
-// Beyond, it is dropped: its key stays running and then unknown, never run
-// again.
-func (g *group) requeue(o *op) {
+// enqueueSettlement queues a settlement even above MaxPendingOps, up to twice
+// that number. Above that, the settlement is dropped: its key stays Running,
+// then becomes Unknown, and is never run again.
+func (g *group) enqueueSettlement(o *op) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(g.pending) >= 2*g.c.cfg.MaxPendingOps {
-		g.c.m.settlementsDropped.Inc(1)
+	if len(g.pending) >= 2*g.claimer.cfg.MaxPendingOps {
+		g.claimer.counters.settlementsDropped.Inc(1)
 		return
 	}
 	g.pending = append(g.pending, o)
 	g.startLocked()
 }
 
-// busy reports whether anything waits or is on its way.
+// busy reports whether any op is queued or in progress.
 func (g *group) busy() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/claim/harness_test.go
+++ b/claim/harness_test.go
@@ -14,25 +14,25 @@
 
 const storeLatencyMS = 5
 
-// fleet is some entries of one region and their store.
-type fleet struct {
+// testCluster is the entries of one region and their store.
+type testCluster struct {
 	store   *standin.Memory
 	entries []*Claimer
 
-	mu       sync.Mutex      // guards cut and claimers
-	cut      map[string]bool // entries that don't answer
-	claimers map[Issuer]*Claimer
+	mu          sync.Mutex      // guards unreachable and claimers
+	unreachable map[string]bool // entries that refuse connections
+	claimers    map[Issuer]*Claimer
 
-	hung string // an entry that gives no answer; guarded by mu
+	hanging string // entry that accepts calls and never responds; guarded by mu
 
-	wire *badWire // nil if forwarded claims are never lost
+	lossyNet *lossyNetwork // nil if forwarded claims are neither lost nor delayed
 }
 
-func newFleet(t testing.TB, n int, change func(*Config)) *fleet {
-	f := &fleet{
-		store:    standin.NewMemory(standin.Config{Seed: 1}),
-		cut:      map[string]bool{},
-		claimers: map[Issuer]*Claimer{},
+func newTestCluster(t testing.TB, n int, change func(*Config)) *testCluster {
+	f := &testCluster{
+		store:       standin.NewMemory(standin.Config{Seed: 1}),
+		unreachable: map[string]bool{},
+		claimers:    map[Issuer]*Claimer{},
 	}
 	f.store.SetFaults(standin.Faults{LatencyMS: storeLatencyMS})
 	for i := range n {
@@ -41,8 +41,8 @@
 	return f
 }
 
-// start brings up an incarnation of an entry.
-func (f *fleet) start(t testing.TB, name string, change func(*Config)) *Claimer {
+// start starts an incarnation of an entry.
+func (f *testCluster) start(t testing.TB, name string, change func(*Config)) *Claimer {
 	cfg := Config{Store: f.store, Peers: f, Entry: name}
 	if change != nil {
 		change(&cfg)
@@ -57,43 +57,43 @@
 	return c
 }
 
-// forget lets an incarnation be gone.
-func (f *fleet) forget(by Issuer) {
+// remove removes an incarnation, as if its process had died.
+func (f *testCluster) remove(by Issuer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.claimers, by)
 }
 
-func (f *fleet) reach(by Issuer) (*Claimer, error) {
+func (f *testCluster) reachable(by Issuer) (*Claimer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	c := f.claimers[by]
-	if c == nil || f.cut[by.Entry] {
+	if c == nil || f.unreachable[by.Entry] {
 		return nil, errors.New("connection refused")
 	}
 	return c, nil
 }
 
-func (f *fleet) ClaimIssued(_ context.Context, by Issuer, key Key, mark string) (Grant, error) {
-	c, err := f.reach(by)
+func (f *testCluster) ClaimIssued(_ context.Context, by Issuer, key Key, mark string) (Grant, error) {
+	c, err := f.reachable(by)
 	if err != nil {
 		return Grant{}, err
 	}
 	return c.ServeClaim(key, mark)
 }
 
-func (f *fleet) SettleIssued(_ context.Context, by Issuer, key Key, mark string, o Outcome) error {
-	c, err := f.reach(by)
+func (f *testCluster) SettleIssued(_ context.Context, by Issuer, key Key, mark string, o Outcome) error {
+	c, err := f.reachable(by)
 	if err != nil {
 		return err
 	}
 	return c.ServeSettle(key, mark, o)
 }
 
-// hop is one way between two entries.
-const hop = time.Millisecond
+// networkDelay is the one-way delay between two entries.
+const networkDelay = time.Millisecond
 
-func (f *fleet) CandidateWriters() []string {
+func (f *testCluster) CandidateWriters() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var names []string
@@ -103,46 +103,46 @@
 	return names
 }
 
-func (f *fleet) Forward(ctx context.Context, entry string, b Batch) ([]ChangeResult, error) {
-	c, err := f.named(entry)
+func (f *testCluster) Forward(ctx context.Context, entry string, b Batch) ([]ChangeResult, error) {
+	c, err := f.claimerOf(entry)
 	if err != nil {
 		return nil, err
 	}
-	time.Sleep(hop)
-	if f.isHung(entry) {
+	time.Sleep(networkDelay)
+	if f.isHanging(entry) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	if f.wire != nil {
-		return f.wire.forward(ctx, c, b)
+	if f.lossyNet != nil {
+		return f.lossyNet.forward(ctx, c, b)
 	}
 	answers, err := c.ServeForward(ctx, b)
-	time.Sleep(hop)
+	time.Sleep(networkDelay)
 	return answers, err
 }
 
-func (f *fleet) isHung(entry string) bool {
+func (f *testCluster) isHanging(entry string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.hung == entry
+	return f.hanging == entry
 }
 
-func (f *fleet) named(entry string) (*Claimer, error) {
+func (f *testCluster) claimerOf(entry string) (*Claimer, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for by, c := range f.claimers {
-		if by.Entry == entry && !f.cut[entry] {
+		if by.Entry == entry && !f.unreachable[entry] {
 			return c, nil
 		}
 	}
 	return nil, errors.New("connection refused")
 }
 
-func (f *fleet) down(down bool) {
+func (f *testCluster) setStoreDown(down bool) {
 	f.store.SetFaults(standin.Faults{Down: down, LatencyMS: storeLatencyMS})
 }
 
-// inBubble runs a test under virtual time and lets the groups end.
+// inBubble runs a test in a synctest bubble and then lets the groups finish.
 func inBubble(t *testing.T, f func(t *testing.T)) {
 	synctest.Test(t, func(t *testing.T) {
 		f(t)
@@ -152,10 +152,10 @@
 
 const testWorkspace = "derwent"
 
-func ownKey(text string) Key { return Key{Workspace: testWorkspace, IdempotencyKey: text} }
+func testKey(text string) Key { return Key{Workspace: testWorkspace, IdempotencyKey: text} }
 
-// claim asserts a grant and returns it.
-func claim(t *testing.T, c *Claimer, k Key) Grant {
+// mustClaim claims a key and fails the test on an error.
+func mustClaim(t *testing.T, c *Claimer, k Key) Grant {
 	t.Helper()
 	g, err := c.Claim(t.Context(), k, Request{ID: "r"})
 	if err != nil {
@@ -164,11 +164,11 @@
 	return g
 }
 
-func settle(t *testing.T, c *Claimer, g Grant, o Outcome) {
+func mustSettle(t *testing.T, c *Claimer, g Grant, o Outcome) {
 	t.Helper()
 	if err := c.Settle(t.Context(), g, o); err != nil {
 		t.Fatal(err)
 	}
 }
 
-var done = Outcome{Kind: OutcomeDone, Record: Record{Status: 200, Response: []byte("confirmed")}}
+var doneOutcome = Outcome{Kind: OutcomeDone, Record: Record{Status: 200, Response: []byte("confirmed")}}
--- a/claim/layout.go
+++ b/claim/layout.go
@@ -10,28 +10,30 @@
 	"github.com/briarturn/briarturn/objectapi"
 )
 
-// ErrShardCountMismatch: the number of shards set here is not the one on record.
+// ErrShardCountMismatch: the configured number of shards differs from the one
+// recorded in the store.
 const ErrShardCountMismatch = errors.ConstError("claim shards set differently in another entry")
 
-// layoutName is the object that records the number of shards.
+// layoutName is the name of the object that records the number of shards.
 const layoutName = "layout"
 
-// layout guards the number of shards. Two entries that disagree would look for
-// one key in two shards, and a resend through the other would run again.
+// layout verifies the number of shards. Two entries with different numbers
+// would look for one key in two shards, and a resend through the other entry
+// would run again.
 type layout struct {
-	store  objectapi.Store
-	shards int
-	agreed atomic.Bool
+	store    objectapi.Store
+	shards   int
+	verified atomic.Bool
 }
 
 type layoutValue struct {
 	Shards int `json:"shards"`
 }
 
-// check compares with the number on record until it agreed once, and records
-// this entry's number if there is none.
+// check compares the configured number of shards with the recorded one until
+// they have matched once. If none is recorded, it records this entry's number.
 func (l *layout) check(ctx context.Context) error {
-	if l.agreed.Load() {
+	if l.verified.Load() {
 		return nil
 	}
 	obj, err := l.store.Get(ctx, Kind, layoutName)
@@ -48,12 +50,12 @@
 	if v.Shards != l.shards {
 		return errors.Annotatef(ErrShardCountMismatch, "step check claim layout: %d here, %d on record", l.shards, v.Shards)
 	}
-	l.agreed.Store(true)
+	l.verified.Store(true)
 	return nil
 }
 
-// create records the number and reads back what is on record, so that of two
-// entries that start together one wins, whatever becomes of the answers.
+// create records the number and reads the recorded one back, so that the number
+// of one entry prevails if two start together, even if responses are lost.
 func (l *layout) create(ctx context.Context) (objectapi.Object, error) {
 	data, err := json.Marshal(layoutValue{Shards: l.shards})
 	if err != nil {
--- a/claim/measure_test.go
+++ b/claim/measure_test.go
@@ -21,7 +21,7 @@
 // serviceTime is how long a confirmation runs at its plain service.
 const serviceTime = 20 * time.Millisecond
 
-// meteredStore counts the bytes that cross the wire to the store.
+// meteredStore counts the bytes read from and written to the store.
 type meteredStore struct {
 	objectapi.Store
 	read, written atomic.Int64
@@ -43,53 +43,54 @@
 	return s.Store.Update(ctx, kind, name, d, v)
 }
 
-// load offers confirmations at a rate, by Poisson arrivals, to three entries.
-type load struct {
-	f       *fleet
-	store   *meteredStore
-	rate    float64
-	issued  bool
-	mu      sync.Mutex // guards what follows
-	waits   []time.Duration
-	granted int
-	refused int
-	runs    map[Key]int
+// loadTest sends confirmations to a number of entries, as Poisson arrivals at a
+// given rate.
+type loadTest struct {
+	f          *testCluster
+	store      *meteredStore
+	rate       float64
+	issued     bool
+	mu         sync.Mutex // guards the fields below
+	claimWaits []time.Duration
+	granted    int
+	refused    int
+	runs       map[Key]int
 }
 
-func newLoad(t *testing.T, rate float64, issued bool, shards, entries int) *load {
-	l := &load{rate: rate, issued: issued, runs: map[Key]int{}}
-	l.f = newFleet(t, 0, nil)
+func newLoad(t *testing.T, rate float64, issued bool, shards, entries int) *loadTest {
+	l := &loadTest{rate: rate, issued: issued, runs: map[Key]int{}}
+	l.f = newTestCluster(t, 0, nil)
 	l.store = &meteredStore{Store: l.f.store}
 	for i := range entries {
 		l.f.entries = append(l.f.entries, l.f.start(t, fmt.Sprint("entry-", i), func(c *Config) { c.Store = l.store; c.Shards = shards }))
 	}
-	l.warm(t, l.f.entries...)
-	l.clear()
+	l.preload(t, l.f.entries...)
+	l.resetCounts()
 	return l
 }
 
-func (l *load) run(d time.Duration, rnd *rand.Rand) {
+func (l *loadTest) run(d time.Duration, rnd *rand.Rand) {
 	var calls sync.WaitGroup
 	end := time.Now().Add(d)
 	for n := 0; time.Now().Before(end); n++ {
 		time.Sleep(time.Duration(rnd.ExpFloat64() / l.rate * float64(time.Second)))
 		at := l.f.entries[rnd.IntN(len(l.f.entries))]
-		k := ownKey(fmt.Sprintf("%.0f-%d-%d", l.rate, rnd.Uint64(), n))
+		k := testKey(fmt.Sprintf("%.0f-%d-%d", l.rate, rnd.Uint64(), n))
 		if l.issued {
-			k = ownKey(l.f.entries[rnd.IntN(len(l.f.entries))].Issue(testWorkspace))
+			k = testKey(l.f.entries[rnd.IntN(len(l.f.entries))].Issue(testWorkspace))
 		}
 		calls.Go(func() { l.call(at, k) })
 	}
 	calls.Wait()
 }
 
-func (l *load) call(at *Claimer, k Key) {
+func (l *loadTest) call(at *Claimer, k Key) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	g, err := at.Claim(ctx, k, Request{FirstSend: true})
 	l.mu.Lock()
-	l.waits = append(l.waits, time.Since(began))
+	l.claimWaits = append(l.claimWaits, time.Since(began))
 	if err != nil || !g.Fresh {
 		l.refused++
 		l.mu.Unlock()
@@ -102,7 +103,7 @@
 	_ = at.Settle(ctx, g, Outcome{Kind: OutcomeDone, Record: Record{Status: 200, Response: []byte(`{"ok":true}`)}})
 }
 
-func (l *load) counter(name string) int64 {
+func (l *loadTest) counter(name string) int64 {
 	n := int64(0)
 	for _, c := range l.f.entries {
 		if v, ok := c.cfg.Metrics.Get("claim." + name).(interface{ Count() int64 }); ok {
@@ -112,12 +113,12 @@
 	return n
 }
 
-func (l *load) quantile(q float64) time.Duration {
-	slices.Sort(l.waits)
-	return l.waits[int(q*float64(len(l.waits)-1))].Round(100 * time.Microsecond)
+func (l *loadTest) quantile(q float64) time.Duration {
+	slices.Sort(l.claimWaits)
+	return l.claimWaits[int(q*float64(len(l.claimWaits)-1))].Round(100 * time.Microsecond)
 }
 
-func (l *load) twice() int {
+func (l *loadTest) keysRunTwice() int {
 	n := 0
 	for _, runs := range l.runs {
 		if runs > 1 {
@@ -127,14 +128,14 @@
 	return n
 }
 
-// TestMeasureGroupCommit prints confirmations per store write. It checks only
-// that every confirmation went through and none twice.
+// TestMeasureGroupCommit logs the confirmations per store write. It checks only
+// that every confirmation was granted and none ran twice.
 func TestMeasureGroupCommit(t *testing.T) {
 	length := 2 * time.Second
 	if *measureLong {
 		length = 30 * time.Second
 	}
-	for _, shards := range measuredShards(true) {
+	for _, shards := range shardCounts(true) {
 		measureGroupCommit(t, length, shards)
 	}
 }
@@ -156,16 +157,16 @@
 					float64(writes)/seconds, float64(l.counter("store_reads"))/seconds,
 					float64(l.counter("store_conflicts"))/seconds, float64(l.granted)/float64(writes),
 					l.quantile(0.5), l.quantile(0.99), float64(l.store.written.Load())/1024/seconds)
-				if l.refused > 0 || l.twice() > 0 {
-					t.Errorf("%d refused, %d run twice", l.refused, l.twice())
+				if l.refused > 0 || l.keysRunTwice() > 0 {
+					t.Errorf("%d refused, %d run twice", l.refused, l.keysRunTwice())
 				}
 			})
 		}
 	}
 }
 
-// TestMeasureForwarding prints what it costs that more entries share a shard,
-// without and with a preferred writer.
+// TestMeasureForwarding logs the cost of a shard that many entries share, with
+// and without a preferred writer.
 func TestMeasureForwarding(t *testing.T) {
 	length, rates, sizes := time.Second, []float64{735}, []int{10}
 	if *measureLong {
@@ -173,14 +174,14 @@
 	}
 	t.Log("forwarding | shards | entries | offered/s | granted | refused | store writes/s | reads/s | conflicts/s | confirmations/write | claim wait p50 p99 | KB written/s | KB/write")
 	for _, forwarding := range []bool{true, false} {
-		for _, shards := range measuredShards(forwarding) {
+		for _, shards := range shardCounts(forwarding) {
 			for _, entries := range sizes {
 				for _, rate := range rates {
 					inBubble(t, func(t *testing.T) {
 						l := newLoad(t, rate, false, shards, entries)
-						l.forward(forwarding)
+						l.setForwarding(forwarding)
 						l.run(length, rand.New(rand.NewPCG(1, uint64(rate))))
-						l.report(t, fmt.Sprintf("%v | %d | %d | %.0f", forwarding, shards, entries, rate), length)
+						l.logResults(t, fmt.Sprintf("%v | %d | %d | %.0f", forwarding, shards, entries, rate), length)
 					})
 				}
 			}
@@ -188,14 +189,14 @@
 	}
 }
 
-func measuredShards(forwarding bool) []int {
+func shardCounts(forwarding bool) []int {
 	if *measureLong && forwarding {
 		return []int{1, 2, 4}
 	}
 	return []int{DefaultShards}
 }
 
-func (l *load) forward(on bool) {
+func (l *loadTest) setForwarding(on bool) {
 	for _, c := range l.f.entries {
 		if !on {
 			c.cfg.Peers = nil
@@ -203,7 +204,7 @@
 	}
 }
 
-func (l *load) report(t *testing.T, name string, length time.Duration) {
+func (l *loadTest) logResults(t *testing.T, name string, length time.Duration) {
 	for _, c := range l.f.entries {
 		_ = c.Flush(context.Background())
 	}
@@ -214,13 +215,13 @@
 		float64(writes)/seconds, float64(l.counter("store_reads"))/seconds,
 		float64(l.counter("store_conflicts"))/seconds, float64(l.granted)/float64(writes),
 		l.quantile(0.5), l.quantile(0.99), kilobytes/seconds, kilobytes/float64(writes))
-	if l.twice() > 0 {
-		t.Errorf("%d run twice", l.twice())
+	if l.keysRunTwice() > 0 {
+		t.Errorf("%d run twice", l.keysRunTwice())
 	}
 }
 
-// TestMeasureOutage prints what goes through a store outage of ten minutes in
-// which one of three entries dies halfway.
+// TestMeasureOutage logs the calls that succeed during a store outage in which
+// one of three entries dies halfway. At full length the outage takes ten minutes.
 func TestMeasureOutage(t *testing.T) {
 	length := 10 * time.Second
 	if *measureLong {
@@ -240,31 +241,31 @@
 	}
 }
 
-func (l *load) outage(t *testing.T, length time.Duration) {
+func (l *loadTest) outage(t *testing.T, length time.Duration) {
 	before, beforeRefused := l.granted, l.refused
-	l.f.down(true)
+	l.f.setStoreDown(true)
 	l.run(length/2, rand.New(rand.NewPCG(2, 1)))
 	gone := l.f.entries[0]
-	l.f.forget(gone.Issuer())
+	l.f.remove(gone.Issuer())
 	l.f.entries[0] = l.f.start(t, gone.Issuer().Entry, func(c *Config) { c.Store = l.store })
-	gone.die()
+	gone.dropPending()
 	l.run(length/2, rand.New(rand.NewPCG(3, 1)))
 	ran, refused := l.granted-before, l.refused-beforeRefused
-	l.f.down(false)
+	l.f.setStoreDown(false)
 	time.Sleep(2 * DefaultMaxBackoff)
 	for _, c := range l.f.entries {
 		_ = c.Flush(context.Background())
 	}
 	done, unknown, again := l.resend()
 	t.Logf("%s | %d | %d | %d | %d | %d %d %d", map[bool]string{false: "own", true: "issued"}[l.issued],
-		ran+refused, ran, refused, l.twice(), done, unknown, again)
-	if l.twice() > 0 || again > 0 {
-		t.Errorf("%d run twice, %d granted again", l.twice(), again)
+		ran+refused, ran, refused, l.keysRunTwice(), done, unknown, again)
+	if l.keysRunTwice() > 0 || again > 0 {
+		t.Errorf("%d run twice, %d granted again", l.keysRunTwice(), again)
 	}
 }
 
-// die drops what an entry still has to write: its memory is gone.
-func (c *Claimer) die() {
+// dropPending drops the entry's queued ops, as the death of its process does.
+func (c *Claimer) dropPending() {
 	for _, g := range c.groups {
 		g.mu.Lock()
 		g.pending = nil
@@ -272,8 +273,8 @@
 	}
 }
 
-// resend sends every key that ran once more, through an entry that lives.
-func (l *load) resend() (done, unknown, again int) {
+// resend resends every key that ran, through an entry that is alive.
+func (l *loadTest) resend() (done, unknown, again int) {
 	at := l.f.entries[1]
 	var calls sync.WaitGroup
 	var mu sync.Mutex
@@ -296,8 +297,8 @@
 	return done, unknown, again
 }
 
-// TestMeasureRetention prints what a shard costs as an hour of claims gathers in
-// it, and what an entry pays that has to read it all.
+// TestMeasureRetention logs the cost of a shard as an hour of claims
+// accumulates in it, and what an entry without cached indexes has to read.
 func TestMeasureRetention(t *testing.T) {
 	parts, length := 2, time.Second
 	if *measureLong {
@@ -308,20 +309,20 @@
 		l := newLoad(t, rate, false, DefaultShards, entries)
 		t.Log("after | granted | refused | store writes/s | reads/s | conflicts/s | confirmations/write | claim wait p50 p99 | KB written/s | KB/write")
 		for i := range parts {
-			l.clear()
+			l.resetCounts()
 			l.run(length, rand.New(rand.NewPCG(1, uint64(i))))
-			l.report(t, (length * time.Duration(i+1)).String(), length)
-			l.warm(t, l.f.entries...)
+			l.logResults(t, (length * time.Duration(i+1)).String(), length)
+			l.preload(t, l.f.entries...)
 		}
 		cold := l.f.start(t, "cold", func(c *Config) { c.Store = l.store; c.Peers = nil })
-		l.clear()
+		l.resetCounts()
 		began := time.Now()
-		l.warm(t, cold)
-		t.Logf("an entry that has nothing reads %d KB in %v", l.store.read.Load()/1024, time.Since(began))
+		l.preload(t, cold)
+		t.Logf("an entry without cached indexes reads %d KB in %v", l.store.read.Load()/1024, time.Since(began))
 	})
 }
 
-func (l *load) warm(t *testing.T, entries ...*Claimer) {
+func (l *loadTest) preload(t *testing.T, entries ...*Claimer) {
 	for _, c := range entries {
 		if err := c.Preload(t.Context()); err != nil {
 			t.Error(err)
@@ -329,9 +330,9 @@
 	}
 }
 
-// clear starts the counts anew.
-func (l *load) clear() {
-	l.waits, l.granted, l.refused = nil, 0, 0
+// resetCounts sets all counts to zero.
+func (l *loadTest) resetCounts() {
+	l.claimWaits, l.granted, l.refused = nil, 0, 0
 	l.runs = map[Key]int{}
 	l.store.read.Store(0)
 	l.store.written.Store(0)
@@ -342,8 +343,8 @@
 	}
 }
 
-// TestMeasureWriterDeath prints what callers feel while a preferred writer is
-// dead without a word, and still listed for a time.
+// TestMeasureWriterDeath logs the claim waits and refusals while a preferred
+// writer hangs and is still listed, and after it is delisted.
 func TestMeasureWriterDeath(t *testing.T) {
 	length, entries, rate := time.Second, 10, 300.0
 	if *measureLong {
@@ -353,58 +354,58 @@
 		l := newLoad(t, rate, false, DefaultShards, entries)
 		t.Log("phase | granted | refused | store writes/s | reads/s | conflicts/s | confirmations/write | claim wait p50 p99 | KB written/s | KB/write")
 		phase := func(name string) {
-			l.clear()
+			l.resetCounts()
 			l.run(length, rand.New(rand.NewPCG(7, uint64(len(name)))))
-			l.report(t, fmt.Sprintf("%s (longest wait %v)", name, l.quantile(1)), length)
+			l.logResults(t, fmt.Sprintf("%s (longest wait %v)", name, l.quantile(1)), length)
 			if l.refused > 0 {
 				t.Errorf("%s: %d refused", name, l.refused)
 			}
 		}
 		phase("all alive")
-		l.hang(t)
+		l.hangWriter(t)
 		phase("a writer dead, still listed")
-		l.f.forget(l.hungIssuer())
+		l.f.remove(l.hangingIssuer())
 		phase("taken off the list")
 	})
 }
 
-// hang lets the preferred writer of the first shard die; the load goes on
-// through the others.
-func (l *load) hang(t *testing.T) {
+// hangWriter makes the preferred writer of the first shard hang; the load
+// continues through the other entries.
+func (l *loadTest) hangWriter(t *testing.T) {
 	t.Helper()
 	for _, c := range l.f.entries {
-		if name, elsewhere := c.groups[0].writer(); elsewhere {
+		if name, elsewhere := c.groups[0].preferredWriter(); elsewhere {
 			l.f.mu.Lock()
-			l.f.hung = name
+			l.f.hanging = name
 			l.f.mu.Unlock()
 		}
 	}
-	l.f.entries = slices.DeleteFunc(l.f.entries, func(c *Claimer) bool { return c.cfg.Entry == l.f.hung })
+	l.f.entries = slices.DeleteFunc(l.f.entries, func(c *Claimer) bool { return c.cfg.Entry == l.f.hanging })
 }
 
-func (l *load) hungIssuer() Issuer {
+func (l *loadTest) hangingIssuer() Issuer {
 	l.f.mu.Lock()
 	defer l.f.mu.Unlock()
 	for by := range l.f.claimers {
-		if by.Entry == l.f.hung {
+		if by.Entry == l.f.hanging {
 			return by
 		}
 	}
 	return Issuer{}
 }
 
-// regional is the fleet as an entry of one region sees it.
-type regional struct {
-	*fleet
+// regionPeers restricts the candidate writers to the entries of one region.
+type regionPeers struct {
+	*testCluster
 	prefix string
 }
 
-func (r regional) CandidateWriters() []string {
-	return slices.DeleteFunc(r.fleet.CandidateWriters(), func(n string) bool { return !strings.HasPrefix(n, r.prefix) })
+func (r regionPeers) CandidateWriters() []string {
+	return slices.DeleteFunc(r.testCluster.CandidateWriters(), func(n string) bool { return !strings.HasPrefix(n, r.prefix) })
 }
 
-// TestMeasureRegions prints what it costs that regions share a store, each with
-// a preferred writer of its own.
+// TestMeasureRegions logs the cost of several regions that share a store, each
+// with its own preferred writer.
 func TestMeasureRegions(t *testing.T) {
 	length, perRegion := time.Second, 2
 	if *measureLong {
@@ -419,13 +420,13 @@
 				prefix := fmt.Sprintf("region-%d-", i%regions)
 				l.f.entries = append(l.f.entries, l.f.start(t, fmt.Sprint(prefix, i), func(c *Config) {
 					c.Store = l.store
-					c.Peers = regional{l.f, prefix}
+					c.Peers = regionPeers{l.f, prefix}
 				}))
 			}
-			l.warm(t, l.f.entries...)
-			l.clear()
+			l.preload(t, l.f.entries...)
+			l.resetCounts()
 			l.run(length, rand.New(rand.NewPCG(1, rate)))
-			l.report(t, fmt.Sprintf("%d | %d | %d", regions, perRegion, rate), length)
+			l.logResults(t, fmt.Sprintf("%d | %d | %d", regions, perRegion, rate), length)
 		})
 	}
 }
--- a/claim/model_forwarded_test.go
+++ b/claim/model_forwarded_test.go
@@ -5,65 +5,66 @@
 	"testing"
 )
 
-// fullModels adds the large bounds. The default ones catch every broken variant.
+// fullModels adds the large bounds. The default bounds catch every broken
+// variant.
 var fullModels = flag.Bool("claim.full", false, "explore the models to their large bounds too")
 
-// Model of forwarded claims, on top of the model of stored claims. The first
-// send's entry forwards its claim to a preferred writer, a third process, and
-// may at any moment stop waiting and write itself under the same mark. The
-// writer may be paused, crash or go on for as long as it likes; its write and
-// its answer may be late or lost, and the message to it may arrive at any time,
+// Model of forwarded claims, built on the model of stored claims. The entry of
+// the first send forwards its claim to a preferred writer, a third process, and
+// may at any moment stop waiting and write itself with the same mark. The
+// writer may be paused, crash or continue for any length of time. Its write and
+// its response may be late or lost. The message to it may arrive at any time,
 // also after the send has ended, or never. The limit on the age of a forwarded
-// claim is left out, so it may be as late as can be, and withdrawn marks are
-// remembered for ever.
+// claim is left out, so a claim may be arbitrarily late, and withdrawn marks
+// are kept forever.
 
-// Where a forwarded claim is.
+// States of a forwarded claim.
 const (
 	fwdNone uint8 = iota
 	fwdSent
-	fwdRead  // the writer has read the shard
-	fwdWrite // its write is on its way
-	fwdLost  // as above, and the writer takes its answer for lost
+	fwdRead         // the writer has read the shard
+	fwdWrite        // its write is in transit
+	fwdResponseLost // as above, and the writer treats the response as lost
 	fwdGranted
 	fwdNotRun
 	fwdPrior
-	fwdUnsure
-	fwdRefused // not on record and never will be; earlier sends unknown
+	fwdUncertain
+	fwdRefused // not recorded and never will be; outcome of earlier sends unknown
 )
 
-// Ways to break forwarding, each of which must be caught.
+// forwardFault is a way to break forwarding that the model must detect.
 type forwardFault uint8
 
 const (
-	forwardSound     forwardFault = iota
-	grantOnTimeout                // dispatch if the writer does not answer
-	writerTakesBack               // the writer frees a claim whose sender stopped waiting
-	nothingWithdrawn              // release without remembering the mark
-	writerBlind                   // the writer writes without a condition
-	unsureIsNotRun                // the writer says "not run" after a lost answer
+	noForwardFault      forwardFault = iota
+	grantOnTimeout                   // dispatch although the writer did not respond
+	writerReleasesClaim              // the writer releases a claim whose sender stopped waiting
+	markNotWithdrawn                 // release a claim without storing its mark as withdrawn
+	unconditionalWriter              // the writer's write is unconditional
+	uncertainIsNotRun                // the writer reports "not run" after a lost store response
 )
 
 type forwardPart struct {
-	at        uint8
-	version   uint8
-	read      modelRecord
-	tries     uint8
-	unsure    bool // the sender stopped waiting or had no certain answer
-	takenBack bool
-	saw       bool // that the mark was withdrawn, when it read
+	at           uint8
+	version      uint8
+	read         modelRecord
+	tries        uint8
+	uncertain    bool // the sender stopped waiting or got no certain response
+	released     bool
+	sawWithdrawn bool // the mark was withdrawn when the writer read the shard
 }
 
 type forwardedState struct {
 	storedState
 	writerCrashed bool
 	withdrawn     bool
-	fwd           forwardPart // of send 0
+	fwd           forwardPart // claim of send 0
 }
 
 type forwardedModel struct {
 	storedModel
 	fault    forwardFault
-	maxTries uint8 // of the writer
+	maxTries uint8 // maximum number of writes by the writer
 }
 
 func (m *forwardedModel) next(s forwardedState, emit func(forwardedState)) {
@@ -76,18 +77,19 @@
 	m.write(s, emit)
 	if s.sends[0].at == atForward {
 		m.await(s, emit)
-		s.sends[0].at = atEnd // the stored model has no step for it
+		s.sends[0].at = atEnd // the stored model has no step for atForward
 		m.stored(s, func(t forwardedState) { t.sends[0].at = atForward; emit(t) })
 		return
 	}
 	m.stored(s, emit)
 }
 
-// atForward: the send waits for the writer's answer.
+// atForward: the send waits for the writer's response.
 const atForward = atEnd + 1
 
-// stored makes a step of the stored model. The first send forwards where the
-// stored model goes on to read, and its mark is withdrawn where it is released.
+// stored takes a step of the stored model. The first send forwards its claim
+// where the stored model goes on to read, and its mark is withdrawn when its
+// claim is released.
 func (m *forwardedModel) stored(s forwardedState, emit func(forwardedState)) {
 	m.storedModel.next(s.storedState, func(inner storedState) {
 		t := s
@@ -102,24 +104,24 @@
 	})
 }
 
-// released applies what differs from the stored model for a claim that another
-// entry may record.
+// released applies the differences from the stored model for a claim that
+// another entry may record.
 func (m *forwardedModel) released(t *forwardedState, before, after modelSend) {
-	if !t.fwd.unsure || before.at == after.at {
+	if !t.fwd.uncertain || before.at == after.at {
 		return
 	}
 	refused := before.at == atRead || before.at == atDecide
 	if refused && after.at == atEnd {
-		t.sends[0].at = atRelease // also when the store refused for certain
+		t.sends[0].at = atRelease // also if the store certainly refused the write
 		return
 	}
 	notRun := before.at == atRelease || before.at == atSettle && before.outcome == OutcomeNotRun
-	if after.at == atEnd && notRun && m.fault != nothingWithdrawn {
+	if after.at == atEnd && notRun && m.fault != markNotWithdrawn {
 		t.withdrawn = true
 	}
 }
 
-// await: the writer's answer arrives, or the send stops waiting.
+// await lets the writer's response arrive or the send stop waiting.
 func (m *forwardedModel) await(s forwardedState, emit func(forwardedState)) {
 	if s.crashed[m.entry[0]] {
 		return
@@ -131,43 +133,43 @@
 		send.at = atGranted
 		emit(t)
 	case fwdPrior:
-		send.at, send.said = atEnd, saidPrior
+		send.at, send.reported = atEnd, reportedPrior
 		emit(t)
 	case fwdNotRun:
-		send.at, send.said = atEnd, saidNotRun
+		send.at, send.reported = atEnd, reportedNotRun
 		emit(t)
 	case fwdRefused:
 		send.at = atRead
 		emit(t)
 	}
 	t = s
-	t.fwd.unsure = true
+	t.fwd.uncertain = true
 	t.sends[0].at = atRead
 	if m.fault == grantOnTimeout {
 		t.sends[0].at = atGranted
 	}
 	emit(t)
-	t = s // the caller gives up
-	t.fwd.unsure = true
-	t.sends[0].at, t.sends[0].said, t.sends[0].gone = atRelease, saidUnknown, true
+	t = s // the caller stops waiting
+	t.fwd.uncertain = true
+	t.sends[0].at, t.sends[0].reported, t.sends[0].callerGone = atRelease, reportedUnknown, true
 	emit(t)
 }
 
-// write lets the writer's write arrive, also when the writer has crashed.
+// write lets the writer's write arrive, also after the writer has crashed.
 func (m *forwardedModel) write(s forwardedState, emit func(forwardedState)) {
-	if s.fwd.at != fwdWrite && s.fwd.at != fwdLost {
+	if s.fwd.at != fwdWrite && s.fwd.at != fwdResponseLost {
 		return
 	}
 	k := m.key[0]
 	t := s
-	landed := s.fwd.version == s.version || m.fault == writerBlind
+	landed := s.fwd.version == s.version || m.fault == unconditionalWriter
 	if landed {
 		t.version++
 		t.records[k] = modelRecord{1, Running}
 	}
 	switch {
-	case s.fwd.at == fwdLost:
-		t.fwd.at = fwdUnsure
+	case s.fwd.at == fwdResponseLost:
+		t.fwd.at = fwdUncertain
 	case landed:
 		t.fwd.at = fwdGranted
 	case s.fwd.tries < m.maxTries:
@@ -178,14 +180,14 @@
 	emit(t)
 }
 
-// writer is a step of the preferred writer.
+// writer takes a step of the preferred writer.
 func (m *forwardedModel) writer(s forwardedState, emit func(forwardedState)) {
 	t := s
 	switch s.fwd.at {
 	case fwdSent:
 		t.fwd.at = fwdRead
 		t.fwd.version = s.version
-		t.fwd.saw = s.withdrawn
+		t.fwd.sawWithdrawn = s.withdrawn
 		t.fwd.read = s.records[m.key[0]]
 		emit(t)
 		t = s
@@ -194,17 +196,17 @@
 	case fwdRead:
 		m.decideForwarded(s, emit)
 	case fwdWrite:
-		t.fwd.at = fwdLost
-		if m.fault == unsureIsNotRun {
+		t.fwd.at = fwdResponseLost
+		if m.fault == uncertainIsNotRun {
 			t.fwd.at = fwdNotRun
-			if s.fwd.version == s.version { // it landed, and its answer was lost
+			if s.fwd.version == s.version { // the write took effect and its response was lost
 				t.version++
 				t.records[m.key[0]] = modelRecord{1, Running}
 			}
 		}
 		emit(t)
 	case fwdGranted:
-		m.takeBack(s, emit)
+		m.releaseByWriter(s, emit)
 	}
 }
 
@@ -212,14 +214,14 @@
 	t := s
 	r := s.fwd.read
 	switch {
-	case s.fwd.saw:
-		t.fwd.at = fwdUnsure
-	case decide(r.mark != 0, r.state == Running, r.mark == 1) == grant:
+	case s.fwd.sawWithdrawn:
+		t.fwd.at = fwdUncertain
+	case decideClaim(r.mark != 0, r.state == Running, r.mark == 1) == verdictGrant:
 		t.fwd.at = fwdWrite
 		t.fwd.tries++
 		emit(t)
 		t = s
-		t.fwd.at = fwdNotRun // the store refused the write for certain
+		t.fwd.at = fwdNotRun // the store certainly refused the write
 	case r.mark == 1 && r.state == Running:
 		t.fwd.at = fwdGranted
 	default:
@@ -228,13 +230,13 @@
 	emit(t)
 }
 
-// takeBack is what a writer must not do.
-func (m *forwardedModel) takeBack(s forwardedState, emit func(forwardedState)) {
-	if m.fault != writerTakesBack || !s.fwd.unsure || s.fwd.takenBack {
+// releaseByWriter is the step of the writerReleasesClaim fault.
+func (m *forwardedModel) releaseByWriter(s forwardedState, emit func(forwardedState)) {
+	if m.fault != writerReleasesClaim || !s.fwd.uncertain || s.fwd.released {
 		return
 	}
 	t := s
-	t.fwd.takenBack = true
+	t.fwd.released = true
 	t.version++
 	if r := &t.records[m.key[0]]; r.mark == 1 && r.state == Running {
 		*r = modelRecord{}
@@ -246,7 +248,7 @@
 	r := s.records[m.key[0]]
 	freed := s.sends[0].at == atEnd && s.sends[0].outcome == OutcomeNotRun
 	if freed && r.mark == 1 && r.state == Running && !s.crashed[m.entry[0]] {
-		return "send 0 was settled as not run and its claim came back"
+		return "send 0 was settled as not run, but its claim is recorded again"
 	}
 	return m.storedModel.check(s.storedState)
 }
@@ -259,18 +261,18 @@
 	}
 }
 
-// Symptom: two paths of one claim, or one path of each of two claims, both lead
-// to a run; or a refused call leaves a claim that nobody will run. Sequence:
-// every one that a forwarded claim and one written directly can make. Cause
-// looked for: a hole in the rule that all paths of a claim share one mark and
-// only its own entry dispatches or takes back.
+// Explores all interleavings of a forwarded claim and one written directly.
+// Guards against two paths of one claim, or one path of each of two claims,
+// that both lead to a run, and against a refused call that leaves a claim which
+// is never run. The rule under test: all paths of a claim share one mark, and
+// only the claim's own entry dispatches or releases.
 func TestModelForwardedClaims(t *testing.T) {
 	models := map[string]forwardedModel{
-		"one key": forwarded(forwardSound, [modelSends]uint8{}, 1, 1),
+		"one key": forwarded(noForwardFault, [modelSends]uint8{}, 1, 1),
 	}
 	if *fullModels {
-		models["two keys"] = forwarded(forwardSound, [modelSends]uint8{0, 1}, 1, 1)
-		models["one key, two writes at the writer"] = forwarded(forwardSound, [modelSends]uint8{}, 1, 2)
+		models["two keys"] = forwarded(noForwardFault, [modelSends]uint8{0, 1}, 1, 1)
+		models["one key, two writes at the writer"] = forwarded(noForwardFault, [modelSends]uint8{}, 1, 2)
 	}
 	for name, m := range models {
 		states, violation := explore(forwardedState{}, m.next, m.check)
@@ -281,15 +283,15 @@
 	}
 }
 
-// Symptom: the model passes whatever the protocol is. Each variant leaves one
-// rule out and must be caught.
+// Guards against a model that passes for any protocol: each variant leaves one
+// rule out and must be detected.
 func TestModelForwardedCatchesFaults(t *testing.T) {
 	faults := map[string]forwardFault{
-		"run without the writer's answer":   grantOnTimeout,
-		"writer takes a claim back":         writerTakesBack,
-		"released mark not remembered":      nothingWithdrawn,
-		"writer writes without a condition": writerBlind,
-		"not run after a lost answer":       unsureIsNotRun,
+		"run without the writer's response": grantOnTimeout,
+		"writer releases a claim":           writerReleasesClaim,
+		"released mark not stored":          markNotWithdrawn,
+		"writer writes without a condition": unconditionalWriter,
+		"not run after a lost response":     uncertainIsNotRun,
 	}
 	for name, fault := range faults {
 		m := forwarded(fault, [modelSends]uint8{}, 1, 1)
--- a/claim/model_issued_test.go
+++ b/claim/model_issued_test.go
@@ -5,32 +5,32 @@
 	"testing"
 )
 
-// Model of issued keys with the store down for good. Entry 0 issued the key,
-// entry 1 asks it. Messages between them may be late, doubled by a retry or
-// lost, both may crash, and entry 0 comes back as a new incarnation.
+// Model of issued keys with the store permanently down. Entry 0 issued the key
+// and entry 1 asks it. Messages between them may be late, duplicated by a retry
+// or lost, both entries may crash, and entry 0 restarts as a new incarnation.
 
 type issuedFault uint8
 
 const (
-	issuedSound     issuedFault = iota
-	grantUnanswered             // entry 1 runs the call if the issuer does not answer
-	issuerForgets               // a restarted issuer takes keys of its former incarnation
+	noIssuedFault         issuedFault = iota
+	grantWithoutResponse              // entry 1 runs the call although the issuer did not respond
+	restartedIssuerGrants             // a restarted issuer grants keys of its previous incarnation
 )
 
 type issuedSend struct {
-	at       uint8
-	said     uint8
-	asked    [2]uint8 // messages to the issuer: the call and its retry
-	answered [2]verdict
-	tries    uint8
-	dispatch uint8
-	ran      bool
-	before   bool
-	freeMsg  uint8 // "settled not run" on its way to the issuer
+	at         uint8
+	reported   uint8
+	asked      [2]uint8 // messages to the issuer: the request and its retry
+	answered   [2]verdict
+	tries      uint8
+	dispatch   uint8
+	ran        bool
+	before     bool
+	releaseMsg uint8 // "settled as not run" in transit to the issuer
 }
 
 type issuedState struct {
-	table     modelRecord // at the issuer
+	table     modelRecord // state of the key at the issuer
 	restarted bool
 	crashed   [2]bool
 	runs      uint8
@@ -66,14 +66,14 @@
 	}
 }
 
-// issuerClaim is the issuer's answer to one claim, and false if there is no
-// issuer that answers.
+// issuerClaim returns the issuer's response to one claim, and false if no issuer
+// responds.
 func (m *issuedModel) issuerClaim(s *issuedState, i int) (verdict, bool) {
-	if s.crashed[0] && !(s.restarted && m.fault == issuerForgets) {
-		return refuse, false
+	if s.crashed[0] && !(s.restarted && m.fault == restartedIssuerGrants) {
+		return verdictRefuse, false
 	}
-	v := decide(s.table.mark != 0, s.table.state == Running, s.table.mark == uint8(i+1))
-	if v == grant {
+	v := decideClaim(s.table.mark != 0, s.table.state == Running, s.table.mark == uint8(i+1))
+	if v == verdictGrant {
 		s.table = modelRecord{uint8(i + 1), Running}
 	}
 	return v, true
@@ -93,10 +93,10 @@
 		t.sends[i].answered[n] = v
 		emit(t)
 	}
-	if s.sends[i].freeMsg == msgSent {
+	if s.sends[i].releaseMsg == msgSent {
 		t := s
-		m.free(&t, i)
-		t.sends[i].freeMsg = msgDone
+		m.releaseKey(&t, i)
+		t.sends[i].releaseMsg = msgDone
 		emit(t)
 	}
 	if s.sends[i].dispatch == msgSent {
@@ -111,7 +111,7 @@
 	}
 }
 
-func (m *issuedModel) free(s *issuedState, i int) {
+func (m *issuedModel) releaseKey(s *issuedState, i int) {
 	if s.table.mark == uint8(i+1) && s.table.state == Running {
 		s.table = modelRecord{}
 	}
@@ -126,9 +126,9 @@
 		send.at = atRead
 		emit(t)
 	case atRead:
-		m.ask(s, i, emit)
+		m.askIssuer(s, i, emit)
 	case atWaitWrite:
-		m.waitAnswer(s, i, emit)
+		m.awaitResponse(s, i, emit)
 	case atGranted:
 		send.at = atWaitRun
 		send.dispatch = msgSent
@@ -138,7 +138,7 @@
 	}
 }
 
-func (m *issuedModel) ask(s issuedState, i int, emit func(issuedState)) {
+func (m *issuedModel) askIssuer(s issuedState, i int, emit func(issuedState)) {
 	t := s
 	if m.entry[i] != 0 {
 		t.sends[i].asked[t.sends[i].tries] = msgSent
@@ -148,36 +148,36 @@
 		return
 	}
 	v, _ := m.issuerClaim(&t, i)
-	m.take(&t.sends[i], v)
+	m.applyVerdict(&t.sends[i], v)
 	emit(t)
 }
 
-func (m *issuedModel) take(send *issuedSend, v verdict) {
+func (m *issuedModel) applyVerdict(send *issuedSend, v verdict) {
 	send.at = atGranted
-	if v == refuse {
+	if v == verdictRefuse {
 		send.at = atEnd
-		send.said = saidPrior
+		send.reported = reportedPrior
 	}
 }
 
-func (m *issuedModel) waitAnswer(s issuedState, i int, emit func(issuedState)) {
+func (m *issuedModel) awaitResponse(s issuedState, i int, emit func(issuedState)) {
 	for n := range s.sends[i].tries {
 		if s.sends[i].asked[n] == msgDone {
 			t := s
-			m.take(&t.sends[i], s.sends[i].answered[n])
+			m.applyVerdict(&t.sends[i], s.sends[i].answered[n])
 			emit(t)
 		}
 	}
 	t := s
 	send := &t.sends[i]
 	if int(send.tries) < len(send.asked) {
-		send.at = atRead // no answer: ask again, with the same mark
+		send.at = atRead // no response: retry with the same mark
 		emit(t)
 		return
 	}
 	send.at = atEnd
-	send.said = saidUnknown
-	if m.fault == grantUnanswered {
+	send.reported = reportedUnknown
+	if m.fault == grantWithoutResponse {
 		send.at = atGranted
 	}
 	emit(t)
@@ -189,28 +189,28 @@
 	send.at = atEnd
 	switch send.dispatch {
 	case msgDone:
-		send.said = saidDone
+		send.reported = reportedDone
 		m.settled(&t, i, Done)
 		emit(t)
 	case msgRefused:
-		send.said = saidNotRun
+		send.reported = reportedNotRun
 		if m.entry[i] == 0 {
-			m.free(&t, i)
+			m.releaseKey(&t, i)
 		} else {
-			send.freeMsg = msgSent
+			send.releaseMsg = msgSent
 		}
 		emit(t)
 	}
 	t = s
 	t.sends[i].at = atEnd
-	t.sends[i].said = saidUnknown
+	t.sends[i].reported = reportedUnknown
 	m.settled(&t, i, Unknown)
 	emit(t)
 }
 
-// settled tells the issuer of an outcome other than "not run". From entry 1
-// that is best effort and left out here: the table then stays at Running, which
-// refuses as well.
+// settled reports an outcome other than "not run" to the issuer. From entry 1
+// this is best effort and left out here: the key then stays Running, which is
+// refused as well.
 func (m *issuedModel) settled(s *issuedState, i int, state State) {
 	if m.entry[i] == 0 && s.table.mark == uint8(i+1) {
 		s.table.state = state
@@ -222,17 +222,16 @@
 		return fmt.Sprintf("ran %d times", s.runs)
 	}
 	for i, send := range s.sends {
-		if send.said == saidNotRun && (send.ran || send.before) {
-			return fmt.Sprintf("send %d was told not run, and the key had run", i)
+		if send.reported == reportedNotRun && (send.ran || send.before) {
+			return fmt.Sprintf("send %d was reported as not run, but the key had run", i)
 		}
 	}
 	return ""
 }
 
-// Symptom: a confirmation sent through an outage of the store runs twice.
-// Sequence: every one that two entries, three sends and a bad network can make
-// without a store. Cause looked for: a hole in the rule that only the issuing
-// incarnation grants a key.
+// Explores all interleavings of two entries and three sends over an unreliable
+// network without a store. Guards against a call that runs twice in a store
+// outage. The rule under test: only the issuing incarnation grants a key.
 func TestModelIssuedKeys(t *testing.T) {
 	orders := [][modelSends]uint8{{0, 1, 1}, {0, 0, 1}}
 	if *fullModels {
@@ -248,12 +247,12 @@
 	}
 }
 
-// Symptom: the model passes whatever the protocol is. Each variant leaves one
-// rule out and must be caught.
+// Guards against a model that passes for any protocol: each variant leaves one
+// rule out and must be detected.
 func TestModelIssuedCatchesFaults(t *testing.T) {
 	faults := map[string]issuedFault{
-		"run without the issuer's answer": grantUnanswered,
-		"restarted issuer takes old keys": issuerForgets,
+		"run without the issuer's response": grantWithoutResponse,
+		"restarted issuer grants old keys":  restartedIssuerGrants,
 	}
 	for name, fault := range faults {
 		m := issuedModel{entry: [modelSends]uint8{0, 1, 1}, fault: fault}
--- a/claim/model_stored_test.go
+++ b/claim/model_stored_test.go
@@ -5,18 +5,19 @@
 	"testing"
 )
 
-// Model of claims in a shard. Two entries, three sends, one or two keys in one
-// shard. Every step of an entry, of the network and of the store is a transition
-// of its own, so all orders of them are visited: an entry may be paused or crash
-// between any two, a write may land late or never, an answer may be lost before
-// or after its write landed, and the store may fail at each call.
+// Model of claims in a shard: two entries, three sends, and one or two keys in
+// one shard. Every step of an entry, of the network and of the store is a
+// separate transition, so all orders of them are visited: an entry may be
+// paused or crash between any two, a write may take effect late or never, an
+// response may be lost before or after its write took effect, and the store may
+// fail at each call.
 
 const (
 	modelSends  = 3
-	modelWrites = 2 // the most that one send makes before it gives up
+	modelWrites = 2 // maximum number of writes of one send
 )
 
-// Where a send is.
+// Steps of a send.
 const (
 	atStart uint8 = iota
 	atRead
@@ -29,16 +30,16 @@
 	atEnd
 )
 
-// What a send told its caller.
+// Results that a send reports to its caller.
 const (
-	saidNothing uint8 = iota
-	saidNotRun
-	saidUnknown
-	saidDone
-	saidPrior
+	reportedNothing uint8 = iota
+	reportedNotRun
+	reportedUnknown
+	reportedDone
+	reportedPrior
 )
 
-// A message on its way, and what became of it.
+// States of a message.
 const (
 	msgNone uint8 = iota
 	msgSent
@@ -46,20 +47,20 @@
 	msgRefused
 )
 
-// Ways to break the protocol, each of which must be caught.
+// storedFault is a way to break the protocol that the model must detect.
 type storedFault uint8
 
 const (
-	noFault         storedFault = iota
-	overwriteOnLost             // after a lost answer, write without a condition
-	takeOverRunning             // grant a claim whose entry crashed
-	timeoutIsNotRun             // free the key when a dispatched call gives no answer
-	notRunUnread                // say "not run" when the store could not be read
-	releaseUnbumped             // release without a write when nothing is on record
+	noFault             storedFault = iota
+	overwriteOnLost                 // after a lost response, write unconditionally
+	takeOverRunning                 // grant a claim whose entry crashed
+	timeoutIsNotRun                 // release the key if a dispatched call gets no response
+	notRunWithoutRead               // report "not run" although the store could not be read
+	releaseWithoutWrite             // release without a write if nothing is recorded
 )
 
 type modelRecord struct {
-	mark  uint8 // send that claimed, from 1; 0 is none
+	mark  uint8 // number of the send that claimed, from 1; 0 is none
 	state State
 }
 
@@ -69,18 +70,18 @@
 }
 
 type modelSend struct {
-	at        uint8
-	said      uint8
-	outcome   OutcomeKind
-	tries     uint8
-	ambiguous bool
-	gone      bool // the caller gave up waiting
-	ranBefore bool // the key had run when this send began
-	version   uint8
-	read      modelRecord
-	writes    [modelWrites]modelWrite
-	dispatch  uint8
-	ran       bool
+	at         uint8
+	reported   uint8
+	outcome    OutcomeKind
+	tries      uint8
+	ambiguous  bool
+	callerGone bool // the caller stopped waiting
+	ranBefore  bool // the key had run before this send began
+	version    uint8
+	read       modelRecord
+	writes     [modelWrites]modelWrite
+	dispatch   uint8
+	ran        bool
 }
 
 type storedState struct {
@@ -91,13 +92,13 @@
 	sends   [modelSends]modelSend
 }
 
-// storedModel says which send has which key and entry.
+// storedModel assigns a key and an entry to each send.
 type storedModel struct {
 	key   [modelSends]uint8
 	entry [modelSends]uint8
 	fault storedFault
-	sends int   // of modelSends, the others stay at their start
-	tries uint8 // claim writes of one send
+	sends int   // number of active sends; the others stay at atStart
+	tries uint8 // maximum number of claim writes of one send
 }
 
 func (m *storedModel) next(s storedState, emit func(storedState)) {
@@ -116,7 +117,7 @@
 	}
 }
 
-// network lets what is on its way arrive, also when its sender has crashed.
+// network delivers a message in transit, also if its sender has crashed.
 func (m *storedModel) network(s storedState, i int, emit func(storedState)) {
 	send := &s.sends[i]
 	k := m.key[i]
@@ -162,7 +163,7 @@
 		send.read = s.records[k]
 		emit(t)
 		t = s
-		m.giveUp(send, m.fault == notRunUnread)
+		m.giveUp(send, m.fault == notRunWithoutRead)
 		emit(t)
 	case atDecide:
 		m.decide(s, i, emit)
@@ -179,12 +180,12 @@
 	}
 }
 
-// giveUp ends a claim that did not land.
+// giveUp ends a claim whose write did not take effect.
 func (m *storedModel) giveUp(send *modelSend, absent bool) {
-	if !send.gone {
-		send.said = saidUnknown
+	if !send.callerGone {
+		send.reported = reportedUnknown
 		if absent {
-			send.said = saidNotRun
+			send.reported = reportedNotRun
 		}
 	}
 	send.at = atEnd
@@ -197,16 +198,16 @@
 	t := s
 	send := &t.sends[i]
 	r := send.read
-	v := decide(r.mark != 0, r.state == Running, r.mark == uint8(i+1))
-	if m.fault == takeOverRunning && v == refuse && r.state == Running && s.crashed[m.entry[r.mark-1]] {
-		v = grant
+	v := decideClaim(r.mark != 0, r.state == Running, r.mark == uint8(i+1))
+	if m.fault == takeOverRunning && v == verdictRefuse && r.state == Running && s.crashed[m.entry[r.mark-1]] {
+		v = verdictGrant
 	}
 	switch v {
-	case refuse:
-		send.said = saidPrior
+	case verdictRefuse:
+		send.reported = reportedPrior
 		send.at = atEnd
 		emit(t)
-	case granted:
+	case verdictAlreadyGranted:
 		m.landed(send)
 		emit(t)
 	default:
@@ -222,10 +223,11 @@
 	}
 }
 
-// landed is a claim on record: granted, or released if its caller has gone.
+// landed handles a recorded claim: it is granted, or released if its caller has
+// stopped waiting.
 func (m *storedModel) landed(send *modelSend) {
 	send.at = atGranted
-	if send.gone {
+	if send.callerGone {
 		send.at = atRelease
 	}
 }
@@ -243,13 +245,13 @@
 		emit(t)
 	}
 	t = s
-	t.sends[i].ambiguous = true // the answer is lost, whatever became of the write
+	t.sends[i].ambiguous = true // the response is lost, whether or not the write took effect
 	t.sends[i].at = atRead
 	emit(t)
-	if !now.gone {
+	if !now.callerGone {
 		t = s
-		t.sends[i].gone = true
-		t.sends[i].said = saidUnknown
+		t.sends[i].callerGone = true
+		t.sends[i].reported = reportedUnknown
 		emit(t)
 	}
 }
@@ -260,24 +262,24 @@
 	send.at = atSettle
 	switch send.dispatch {
 	case msgDone:
-		send.outcome, send.said = OutcomeDone, saidDone
+		send.outcome, send.reported = OutcomeDone, reportedDone
 		emit(t)
 	case msgRefused:
-		send.outcome, send.said = OutcomeNotRun, saidNotRun
+		send.outcome, send.reported = OutcomeNotRun, reportedNotRun
 		emit(t)
 	}
 	t = s
 	t.sends[i].at = atSettle
-	t.sends[i].outcome, t.sends[i].said = OutcomeUnknown, saidUnknown
+	t.sends[i].outcome, t.sends[i].reported = OutcomeUnknown, reportedUnknown
 	if m.fault == timeoutIsNotRun {
 		t.sends[i].outcome = OutcomeNotRun
 	}
 	emit(t)
 }
 
-// settle is one step: a conditional write that lands is as good as one that
-// read and wrote at the moment of landing. It may never come: the entry may
-// crash first.
+// settle is one step, because a conditional write that takes effect is
+// equivalent to a read and a write at that moment. It may never happen, because
+// the entry may crash first.
 func (m *storedModel) settle(s storedState, i int, emit func(storedState)) {
 	t := s
 	send := &t.sends[i]
@@ -287,7 +289,7 @@
 		o = OutcomeNotRun
 	}
 	mine := r.mark == uint8(i+1) && r.state == Running
-	if mine || m.fault != releaseUnbumped {
+	if mine || m.fault != releaseWithoutWrite {
 		t.version++
 	}
 	switch {
@@ -309,16 +311,16 @@
 		}
 	}
 	for i, send := range s.sends {
-		if send.said == saidNotRun && (send.ran || send.ranBefore) {
-			return fmt.Sprintf("send %d was told not run, and its key had run", i)
+		if send.reported == reportedNotRun && (send.ran || send.ranBefore) {
+			return fmt.Sprintf("send %d was reported as not run, but its key had run", i)
 		}
 	}
-	return m.checkStuck(s)
+	return m.checkOrphanedClaims(s)
 }
 
-// checkStuck: a claim that was released does not come back to stand for a call
-// that nobody will run.
-func (m *storedModel) checkStuck(s storedState) string {
+// checkOrphanedClaims detects a claim that is recorded after its send ended
+// without a run and released it.
+func (m *storedModel) checkOrphanedClaims(s storedState) string {
 	for _, r := range s.records {
 		if r.mark == 0 || r.state != Running {
 			continue
@@ -326,16 +328,15 @@
 		i := r.mark - 1
 		send := s.sends[i]
 		if send.at == atEnd && send.outcome == 0 && !s.crashed[m.entry[i]] {
-			return fmt.Sprintf("send %d ended without a run and its claim is on record", i)
+			return fmt.Sprintf("send %d ended without a run, but its claim is recorded", i)
 		}
 	}
 	return ""
 }
 
-// Symptom: a confirmation runs twice, or a caller is told "not run" of one that
-// ran. Sequence: every one that two entries, three sends, a network that loses
-// and delays and a store that loses answers can make. Cause looked for: a hole
-// in the claim protocol.
+// Explores all interleavings of two entries, three sends, a network that loses
+// and delays messages and a store that loses responses. Guards against a call
+// that runs twice, and against "not run" reported for a call that ran.
 func TestModelStoredClaims(t *testing.T) {
 	models := map[string]storedModel{
 		"one key, two sends, two writes each": {entry: [modelSends]uint8{0, 1}, sends: 2, tries: 2},
@@ -354,15 +355,15 @@
 	}
 }
 
-// Symptom: the model passes whatever the protocol is. Each variant leaves one
-// rule out and must be caught.
+// Guards against a model that passes for any protocol: each variant leaves one
+// rule out and must be detected.
 func TestModelStoredCatchesFaults(t *testing.T) {
 	faults := map[string]storedFault{
-		"overwrite after a lost answer": overwriteOnLost,
-		"take over a running claim":     takeOverRunning,
-		"no answer taken for not run":   timeoutIsNotRun,
-		"not run without reading":       notRunUnread,
-		"release without a write":       releaseUnbumped,
+		"overwrite after a lost response": overwriteOnLost,
+		"take over a running claim":       takeOverRunning,
+		"no response treated as not run":  timeoutIsNotRun,
+		"not run without reading":         notRunWithoutRead,
+		"release without a write":         releaseWithoutWrite,
 	}
 	for name, fault := range faults {
 		m := storedModel{entry: [modelSends]uint8{0, 1, 1}, sends: 2, tries: 2, fault: fault}
--- a/claim/plan.go
+++ b/claim/plan.go
@@ -10,37 +10,37 @@
 	"github.com/briarturn/briarturn/objectapi"
 )
 
-var grantStays = invariant.New("claim.grant_stays",
+var grantPersists = invariant.New("claim.grant_stays",
 	"a granted claim that is not settled is on record under its own mark")
 
-// plan is a group applied to one reading of the shard.
+// plan is the result of applying a group to one read of the shard.
 type plan struct {
-	view    sealedView
-	dirty   bool
-	results map[*op]result
-	granted []*op           // claims that hold once the write has landed
-	hashes  map[string]bool // of granted
-	waiting []*op           // claims refused because of one in granted
-	settled []*op
-	refused []*op // claims that the shard has no room for
+	view          sealedView
+	needsWrite    bool
+	results       map[*op]result
+	granted       []*op           // claims that are granted once the write has taken effect
+	grantedHashes map[string]bool // hashes of the claims in granted
+	dependent     []*op           // claims refused because granted has a claim of the same key
+	settled       []*op
+	overCapacity  []*op // claims that don't fit into the shard
 
-	orphan  objectapi.Object // sealed object that counts only if the write lands
-	expired []string         // sealed objects to delete once the write has landed
+	newSealed     objectapi.Object // new sealed object, in use only once the shard's write has taken effect
+	expiredSealed []string         // sealed objects to delete once the write has taken effect
 }
 
-func (g *group) plan(s *shard, view sealedView, batch []*op) *plan {
-	p := &plan{view: view, results: make(map[*op]result, len(batch)), hashes: map[string]bool{}}
-	now := g.c.now()
+func (g *group) buildPlan(s *shard, view sealedView, batch []*op) *plan {
+	p := &plan{view: view, results: make(map[*op]result, len(batch)), grantedHashes: map[string]bool{}}
+	now := g.claimer.now()
 	for _, o := range batch {
 		switch o.kind {
 		case opSettle:
 			g.checkGrant(s, o)
 			s.settle(o.hash, o.mark, o.outcome, o.issued, now)
-			if o.withdraw {
-				g.c.m.withdrawnDropped.Inc(int64(s.withdraw(o.mark, now)))
+			if o.withdrawMark {
+				g.claimer.counters.withdrawnDropped.Inc(int64(s.withdraw(o.mark, now)))
 			}
 			p.settled = append(p.settled, o)
-			p.dirty = true // also if nothing changed: a write that is late must lose
+			p.needsWrite = true // even if nothing changed: a late write of the claim must fail its condition
 		case opLookup:
 			g.planLookup(p, s, o, now)
 		default:
@@ -50,76 +50,77 @@
 	return p
 }
 
-// checkGrant looks for a second grant of a key: a claim that was granted and is
-// not settled stays on record under its own mark until it is. A settlement as
-// "not run" whose earlier write may have landed is no such claim: the key was
-// free, and another may hold it by right.
+// checkGrant detects a second grant of a key: a claim that was granted and is
+// not settled stays recorded under its own mark until it is. This does not hold
+// for a settlement as "not run" whose earlier write may have taken effect: that
+// write freed the key, and another call may have claimed it since.
 func (g *group) checkGrant(s *shard, o *op) {
-	freed := (o.sent || o.served) && o.outcome.Kind == OutcomeNotRun
-	if o.issued || o.release || freed {
+	freed := (o.maybeWritten || o.fromPeer) && o.outcome.Kind == OutcomeNotRun
+	if o.issued || o.isRelease || freed {
 		return
 	}
 	e, ok := s.Claims[o.hash]
-	grantStays.Check(!ok || e.Mark == o.mark,
+	grantPersists.Check(!ok || e.Mark == o.mark,
 		"shard %s, key %s: granted to %s and to %s", g.name, o.hash, o.mark, e.Mark)
 }
 
 func (g *group) planLookup(p *plan, s *shard, o *op, now time.Time) {
 	prior := Prior{State: Unknown}
 	if e, ok := s.Claims[o.hash]; ok {
-		prior = e.prior(now, g.c.cfg.MaxRunTime)
+		prior = e.prior(now, g.claimer.cfg.MaxRunTime)
 	}
 	name, _ := p.view.find(o.hash)
-	p.results[o] = result{verdict: refuse, prior: prior, sealed: name}
+	p.results[o] = result{verdict: verdictRefuse, prior: prior, sealed: name}
 }
 
 func (g *group) planClaim(p *plan, s *shard, o *op, now time.Time) {
-	if s.isWithdrawn(o.mark) || o.served && now.After(o.until) {
+	if s.isWithdrawn(o.mark) || o.fromPeer && now.After(o.expiresAt) {
 		verdict := ErrUnverified
-		if o.served {
-			verdict = errUnsure
+		if o.fromPeer {
+			verdict = errOutcomeUncertain
 		}
 		p.results[o] = result{err: errors.Annotatef(verdict, "step claim, shard %s: late", g.name)}
 		return
 	}
 	if name, ok := p.view.find(o.hash); ok {
-		p.results[o] = result{verdict: refuse, prior: Prior{State: Unknown}, sealed: name}
+		p.results[o] = result{verdict: verdictRefuse, prior: Prior{State: Unknown}, sealed: name}
 		return
 	}
 	before := s.Claims[o.hash]
 	switch s.claim(o.hash, o.mark, now) {
-	case grant:
-		p.dirty = true
+	case verdictGrant:
+		p.needsWrite = true
 		fallthrough
-	case granted:
+	case verdictAlreadyGranted:
 		p.granted = append(p.granted, o)
-		p.hashes[o.hash] = true
+		p.grantedHashes[o.hash] = true
 	default:
-		p.results[o] = result{verdict: refuse, prior: before.prior(now, g.c.cfg.MaxRunTime)}
-		if p.hashes[o.hash] {
-			p.waiting = append(p.waiting, o)
+		p.results[o] = result{verdict: verdictRefuse, prior: before.prior(now, g.claimer.cfg.MaxRunTime)}
+		if p.grantedHashes[o.hash] {
+			p.dependent = append(p.dependent, o)
 		}
 	}
 }
 
-// encode brings the shard under its size limit: what is past its retention goes
-// first, then answers, and if that is not enough this group's new claims.
-// Settlements may use the room between the limit and what the store holds.
+// encode reduces the shard to its size limit: it first drops claims past their
+// retention, then stored responses, and if that is not enough refuses the group's
+// new claims. Settlements may use the space between the limit and the store's
+// maximum value size.
 func (g *group) encode(s *shard, p *plan) (json.RawMessage, error) {
-	limit := g.c.cfg.MaxShardBytes
+	limit := g.claimer.cfg.MaxShardBytes
 	data, err := json.Marshal(s)
 	if err == nil && len(data) > limit {
-		s.expire(g.c.now(), g.c.cfg.Retention)
+		s.dropExpiredClaims(g.claimer.now(), g.claimer.cfg.Retention)
 		data, err = json.Marshal(s)
 	}
 	if err == nil && len(data) > limit {
-		g.c.m.answersDropped.Inc(1)
-		s.dropAnswers(len(data) - limit)
+		g.claimer.counters.responsesDropped.Inc(1)
+		s.dropResponses(len(data) - limit)
 		data, err = json.Marshal(s)
 	}
 	if err == nil && len(data) > limit {
-		p.refuseNew(s)
-		g.c.m.full.Inc(int64(len(p.refused)))
+		p.refuseNewClaims(s)
+		g.claimer.counters.shardFull.Inc(int64(len(p.overCapacity)))
 		data, err = json.Marshal(s)
 	}
 	if err != nil {
@@ -128,18 +129,18 @@
 	if len(data) > objectapi.MaxValueBytes {
 		return nil, errors.Annotatef(objectapi.ErrTooLarge, "step encode claim shard %s", g.name)
 	}
-	return pack(data)
+	return compress(data)
 }
 
-// refuseNew takes this group's claims out of the shard again.
-func (p *plan) refuseNew(s *shard) {
+// refuseNewClaims removes this group's claims from the shard.
+func (p *plan) refuseNewClaims(s *shard) {
 	for _, o := range p.granted {
 		delete(s.Claims, o.hash)
 	}
-	for _, o := range p.waiting {
+	for _, o := range p.dependent {
 		delete(p.results, o)
 	}
-	p.refused = append(p.granted, p.waiting...)
+	p.overCapacity = append(p.granted, p.dependent...)
 	p.granted = nil
-	p.waiting = nil
+	p.dependent = nil
 }
--- a/claim/random_test.go
+++ b/claim/random_test.go
@@ -24,25 +24,25 @@
 	randomSends   = 3
 )
 
-// tally is what a randomised run counted.
-type tally struct {
+// runCounts are the counts of a randomised run.
+type runCounts struct {
 	sends, granted, prior, notRun, unverified, ran, deaths, faults, free int
 }
 
-// randomRun is one seed: callers, entries that die, a store with faults, and a
-// plain service that counts the runs of each key.
+// randomRun is the run of one seed: callers, entries that die, a store with
+// faults, and a plain service that counts the runs of each key.
 type randomRun struct {
-	f    *fleet
-	mu   sync.Mutex // guards what follows
+	f    *testCluster
+	mu   sync.Mutex // guards the fields below
 	runs map[Key]int
 	live []*Claimer
 	dead map[*Claimer]bool
-	tally
-	bad    []string
-	sentBy map[Key][]*Claimer // own keys
+	runCounts
+	violations []string
+	sentBy     map[Key][]*Claimer // entries that each caller's own key was sent to
 }
 
-func (r *randomRun) ranSoFar(k Key) int {
+func (r *randomRun) runCount(k Key) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.runs[k]
@@ -60,13 +60,13 @@
 	return r.dead[c]
 }
 
-// caller sends one call up to three times, each through any entry, some of them
-// at the same time.
+// caller sends one call up to three times, each time through a random entry;
+// the sends may overlap.
 func (r *randomRun) caller(n int, rnd *rand.Rand) {
 	time.Sleep(time.Duration(rnd.IntN(20_000)) * time.Millisecond)
-	k := ownKey(fmt.Sprint("key-", n))
+	k := testKey(fmt.Sprint("key-", n))
 	if rnd.IntN(2) == 0 {
-		k = ownKey(r.entry(rnd).Issue(testWorkspace))
+		k = testKey(r.entry(rnd).Issue(testWorkspace))
 	}
 	var sends sync.WaitGroup
 	for i := range 1 + rnd.IntN(randomSends) {
@@ -79,12 +79,12 @@
 
 func (r *randomRun) send(k Key, first bool, rnd *rand.Rand) {
 	c := r.entry(rnd)
-	r.note(k, c)
-	before := r.ranSoFar(k)
+	r.recordSender(k, c)
+	before := r.runCount(k)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(1+rnd.IntN(2_000))*time.Millisecond)
 	defer cancel()
 	g, err := c.Claim(ctx, k, Request{FirstSend: first})
-	r.count(k, before, g, err)
+	r.countResult(k, before, g, err)
 	if err != nil || !g.Fresh || r.isDead(c) {
 		return
 	}
@@ -94,7 +94,7 @@
 	}
 }
 
-func (r *randomRun) note(k Key, c *Claimer) {
+func (r *randomRun) recordSender(k Key, c *Claimer) {
 	if _, issued := IssuedBy(k.IdempotencyKey); issued {
 		return
 	}
@@ -103,15 +103,15 @@
 	r.sentBy[k] = append(r.sentBy[k], c)
 }
 
-// checkFree: a call that never ran may be sent again, unless an entry that it
-// was sent to has died and left its claim.
+// checkFree verifies that a call that never ran can be sent again, unless an
+// entry that it was sent to has died and left its claim.
 func (r *randomRun) checkFree(t *testing.T) {
 	for _, c := range r.live {
 		if err := c.Flush(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	time.Sleep(time.Minute) // claims that were forwarded late
+	time.Sleep(time.Minute) // for claims that were forwarded late
 	for k, senders := range r.sentBy {
 		orphaned := slices.ContainsFunc(senders, func(c *Claimer) bool { return r.dead[c] })
 		if r.runs[k] > 0 || orphaned {
@@ -120,33 +120,33 @@
 		r.free++
 		g, err := r.live[0].Claim(t.Context(), k, Request{})
 		if err != nil || !g.Fresh {
-			r.bad = append(r.bad, fmt.Sprintf("%v never ran and is not free: %+v, %v", k, g.Prior, err))
+			r.violations = append(r.violations, fmt.Sprintf("%v never ran and is not free: %+v, %v", k, g.Prior, err))
 		}
 	}
 }
 
-// badWire loses and delays forwarded claims.
-type badWire struct {
+// lossyNetwork loses and delays forwarded claims.
+type lossyNetwork struct {
 	mu  sync.Mutex // guards rnd
 	rnd *rand.Rand
 }
 
-func (w *badWire) draw(n int) int {
+func (w *lossyNetwork) intN(n int) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.rnd.IntN(n)
 }
 
-func (w *badWire) forward(ctx context.Context, c *Claimer, b Batch) ([]ChangeResult, error) {
-	switch w.draw(6) {
+func (w *lossyNetwork) forward(ctx context.Context, c *Claimer, b Batch) ([]ChangeResult, error) {
+	switch w.intN(6) {
 	case 0:
 		return nil, errors.New("connection reset before it was sent")
 	case 1:
 		_, _ = c.ServeForward(ctx, b)
-		return nil, errors.New("connection reset before the answer")
-	case 2: // the sender waits in vain; the message arrives late, perhaps too late
+		return nil, errors.New("connection reset before the response")
+	case 2: // the sender times out; the message arrives late, perhaps after it has expired
 		go func() {
-			time.Sleep(time.Duration(w.draw(40_000)) * time.Millisecond)
+			time.Sleep(time.Duration(w.intN(40_000)) * time.Millisecond)
 			_, _ = c.ServeForward(context.Background(), b)
 		}()
 		<-ctx.Done()
@@ -155,7 +155,7 @@
 	return c.ServeForward(ctx, b)
 }
 
-func (r *randomRun) count(k Key, before int, g Grant, err error) {
+func (r *randomRun) countResult(k Key, before int, g Grant, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sends++
@@ -163,7 +163,7 @@
 	case errors.Is(err, ErrNotRun):
 		r.notRun++
 		if before > 0 {
-			r.bad = append(r.bad, fmt.Sprintf("%v had run %d times and was told not run", k, before))
+			r.violations = append(r.violations, fmt.Sprintf("%v had run %d times and was reported as not run", k, before))
 		}
 	case err != nil:
 		r.unverified++
@@ -174,7 +174,7 @@
 	}
 }
 
-// dispatch runs the call, or the agent refuses, or no answer comes.
+// dispatch runs the call, refuses it, or runs it without an response.
 func (r *randomRun) dispatch(k Key, rnd *rand.Rand) Outcome {
 	time.Sleep(time.Duration(rnd.IntN(100)) * time.Millisecond)
 	if rnd.IntN(4) == 0 {
@@ -184,22 +184,22 @@
 	r.ran++
 	r.runs[k]++
 	if r.runs[k] > 1 {
-		r.bad = append(r.bad, fmt.Sprintf("%v ran %d times", k, r.runs[k]))
+		r.violations = append(r.violations, fmt.Sprintf("%v ran %d times", k, r.runs[k]))
 	}
 	r.mu.Unlock()
 	time.Sleep(time.Duration(rnd.IntN(100)) * time.Millisecond)
 	if rnd.IntN(4) == 0 {
 		return Outcome{Kind: OutcomeUnknown}
 	}
-	return done
+	return doneOutcome
 }
 
-// faults lets the store fail in turn and entries die and come back.
-func (r *randomRun) faultsFor(t *testing.T, d time.Duration, rnd *rand.Rand) {
+// injectFaults makes the store fail in various ways and replaces entries.
+func (r *randomRun) injectFaults(t *testing.T, d time.Duration, rnd *rand.Rand) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		time.Sleep(time.Duration(rnd.IntN(2_000)) * time.Millisecond)
 		r.mu.Lock()
-		r.tally.faults++
+		r.runCounts.faults++
 		r.mu.Unlock()
 		switch rnd.IntN(5) {
 		case 0:
@@ -209,33 +209,33 @@
 		case 2:
 			r.f.store.SetFaults(standin.Faults{LatencyMS: 1_500})
 		case 3:
-			r.replace(t, rnd.IntN(randomEntries))
+			r.replaceEntry(t, rnd.IntN(randomEntries))
 		default:
 			r.f.store.SetFaults(standin.Faults{LatencyMS: 5})
 		}
 	}
 }
 
-// replace lets an entry die: it is never heard of again, except that a write it
-// had sent may still land.
-func (r *randomRun) replace(t *testing.T, i int) {
+// replaceEntry kills an entry and starts a new incarnation. A write that the
+// old one had sent may still take effect.
+func (r *randomRun) replaceEntry(t *testing.T, i int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	old := r.live[i]
 	r.dead[old] = true
 	r.deaths++
-	r.f.forget(old.Issuer())
+	r.f.remove(old.Issuer())
 	r.live[i] = r.f.start(t, old.Issuer().Entry, sealOften)
 }
 
-// sealOften lets shards seal their claims after every few.
+// sealOften makes shards seal their claims after every few.
 func sealOften(c *Config) { c.SealThreshold = 400 }
 
-func runSeed(t *testing.T, seed uint64) tally {
-	var total tally
+func runSeed(t *testing.T, seed uint64) runCounts {
+	var total runCounts
 	inBubble(t, func(t *testing.T) {
-		f := newFleet(t, randomEntries, sealOften)
-		f.wire = &badWire{rnd: rand.New(rand.NewPCG(seed, randomCalls+1))}
+		f := newTestCluster(t, randomEntries, sealOften)
+		f.lossyNet = &lossyNetwork{rnd: rand.New(rand.NewPCG(seed, randomCalls+1))}
 		r := &randomRun{f: f, runs: map[Key]int{}, dead: map[*Claimer]bool{}, sentBy: map[Key][]*Claimer{}}
 		r.live = append(r.live, f.entries...)
 		var callers sync.WaitGroup
@@ -243,24 +243,24 @@
 			rnd := rand.New(rand.NewPCG(seed, uint64(n)))
 			callers.Go(func() { r.caller(n, rnd) })
 		}
-		r.faultsFor(t, 25*time.Second, rand.New(rand.NewPCG(seed, randomCalls)))
-		f.down(false)
+		r.injectFaults(t, 25*time.Second, rand.New(rand.NewPCG(seed, randomCalls)))
+		f.setStoreDown(false)
 		callers.Wait()
 		r.checkFree(t)
-		for _, problem := range r.bad {
+		for _, problem := range r.violations {
 			t.Errorf("seed %d: %s", seed, problem)
 		}
-		total = r.tally
+		total = r.runCounts
 	})
 	return total
 }
 
-// Symptom: a placement is booked twice, or its caller is told "not run" of a
-// booking that went through. Sequence: sends through three entries, some at one
-// time, with entries dying, answers of the store lost, the store slow or down.
-// Cause looked for: any hole in the code, where the model has none.
+// Guards against a call that runs twice and against "not run" reported for a
+// call that ran. Calls are sent through three entries, some concurrently, while
+// entries die, store responses are lost, and the store is slow or down. Tests the
+// code for faults that the models do not cover.
 func TestRandomFaultsNeverRunTwice(t *testing.T) {
-	var sum tally
+	var sum runCounts
 	for i := range *randomSeeds {
 		one := runSeed(t, *randomStart+i)
 		sum.sends += one.sends
@@ -275,6 +275,6 @@
 	}
 	t.Logf("seeds from %d: %+v", *randomStart, sum)
 	if sum.ran == 0 || sum.prior == 0 || sum.notRun == 0 || sum.unverified == 0 || sum.free == 0 {
-		t.Error("the run did not reach every kind of answer")
+		t.Error("the run did not produce every kind of result")
 	}
 }
--- a/claim/sealed.go
+++ b/claim/sealed.go
@@ -14,23 +14,26 @@
 	"github.com/briarturn/briarturn/objectapi"
 )
 
-// sealedRef names an object that holds settled claims of a shard and never
-// changes. The shard itself stays small, for every write carries all of it.
+// sealedRef refers to an immutable object that holds settled claims of a shard.
+// This keeps the shard itself small, because every write carries all of it.
 type sealedRef struct {
-	Name   string `json:"n"`
-	Newest int64  `json:"t"` // Unix seconds of its newest record
-	// Folds others: the object refers to older ones, which the shard then needs
-	// not. Without that, references to an hour of sealed objects would fill it.
-	Folds bool `json:"f,omitempty"`
+	Name       string `json:"n"`
+	NewestUnix int64  `json:"t"` // Unix seconds of its newest record
+	// HasFolded means that the object holds references to older objects, which
+	// the shard then does not need. Without folding, the references to an hour
+	// of sealed objects would fill the shard.
+	HasFolded bool `json:"f,omitempty"`
 }
 
-// defaultFoldRefs is how many objects that fold none a shard refers to.
-const defaultFoldRefs = 64
+// defaultFoldThreshold is the number of references to objects without folded
+// ones at which they are folded.
+const defaultFoldThreshold = 64
 
-// split takes out of the shard what will not change any more: settled claims,
-// and running ones past the limit of a request, which are unknown.
-func (s *shard) split(now time.Time, runLimit time.Duration) *shard {
-	out := &shard{Claims: map[string]entry{}}
+// takeSettled removes from the shard, and returns, the claims that will not
+// change any more: settled claims, and running ones past MaxRunTime, which are
+// Unknown.
+func (s *shard) takeSettled(now time.Time, runLimit time.Duration) *shard {
+	out := &shard{Claims: map[string]keyRecord{}}
 	for hash, e := range s.Claims {
 		if e.prior(now, runLimit).State == Running {
 			continue
@@ -41,85 +44,87 @@
 	return out
 }
 
-func (s *shard) newest() int64 {
+func (s *shard) newestUnix() int64 {
 	newest := int64(0)
 	for _, ref := range s.Sealed {
-		newest = max(newest, ref.Newest)
+		newest = max(newest, ref.NewestUnix)
 	}
 	for _, e := range s.Claims {
-		newest = max(newest, e.At)
+		newest = max(newest, e.UpdatedUnix)
 	}
 	return newest
 }
 
-// refBytes is about what a reference takes in a shard's value.
+// refBytes is the approximate size of a reference in a shard's value.
 const refBytes = 46
 
-// shortName is 64 random bits.
-func shortName() string {
-	var b [shortNameBytes]byte
+// randomID returns 64 random bits as text.
+func randomID() string {
+	var b [randomIDBytes]byte
 	_, _ = rand.Read(b[:]) // never fails
 	return base64.RawURLEncoding.EncodeToString(b[:])
 }
 
-const shortNameBytes = 8
+const randomIDBytes = 8
 
-// sealDue reports whether a value of this size should shed its settled claims.
-// The more references a shard has, the larger the next sealed object is: if the
-// references alone could pass the threshold, each write would seal a handful of
-// claims and add another reference.
+// sealDue reports whether the settled claims of a shard of this size should be
+// sealed. The more references a shard has, the larger the next sealed object
+// is: if the references alone could exceed the threshold, each write would seal
+// a handful of claims and add another reference.
 func (g *group) sealDue(s *shard, bytes int) bool {
 	refs := len(s.Sealed) * refBytes
-	return bytes-refs > max(g.c.cfg.SealThreshold, refs)
+	return bytes-refs > max(g.claimer.cfg.SealThreshold, refs)
 }
 
-// seal moves settled claims of a shard that is due into an object of their own,
-// unless most of its claims are running. The object is written first; the shard's own write, which
-// follows, makes it count. If that write fails, the object is of no use and
-// plan.orphan tells to delete it.
+// seal moves the settled claims of a shard into a new object, unless most of
+// the shard's claims are running. The object is written first and is in use
+// once the shard's own write, which follows, has taken effect. If that write
+// fails, plan.newSealed names the unused object to delete.
 func (g *group) seal(ctx context.Context, s *shard, p *plan) error {
-	now := g.c.now()
-	settled := s.split(now, g.c.cfg.MaxRunTime)
+	now := g.claimer.now()
+	settled := s.takeSettled(now, g.claimer.cfg.MaxRunTime)
 	if len(settled.Claims) < len(s.Claims) {
 		maps.Copy(s.Claims, settled.Claims)
 		return nil
 	}
-	settled.fold(s, g.c.cfg.foldRefs)
+	settled.fold(s, g.claimer.cfg.foldThreshold)
 	data, err := json.Marshal(settled)
 	if err == nil {
-		data, err = pack(data)
+		data, err = compress(data)
 	}
 	if err != nil {
 		return errors.Annotatef(err, "step encode sealed claims, shard %s", g.name)
 	}
-	name := g.name + "." + shortName()
-	g.c.m.writes.Inc(1)
-	obj, err := g.c.cfg.Store.Create(ctx, Kind, name, data)
+	name := g.name + "." + randomID()
+	g.claimer.counters.storeWrites.Inc(1)
+	obj, err := g.claimer.cfg.Store.Create(ctx, Kind, name, data)
 	if err != nil {
-		// Also when its answer was lost: nothing refers to it, so it is as
-		// good as never written, and the group is answered by the store's error.
+		// This includes a lost response: nothing refers to the object, so it has
+		// no effect even if it was written, and the group fails with the
+		// store's error.
 		return errors.Annotatef(objectapi.ErrUnavailable, "step write sealed claims %s: %v", name, err)
 	}
-	g.c.m.sealed.Inc(1)
-	s.Sealed = append(s.Sealed, sealedRef{Name: name, Newest: settled.newest(), Folds: len(settled.Sealed) > 0})
-	p.orphan = obj
+	g.claimer.counters.sealed.Inc(1)
+	s.Sealed = append(s.Sealed, sealedRef{Name: name, NewestUnix: settled.newestUnix(), HasFolded: len(settled.Sealed) > 0})
+	p.newSealed = obj
 	return g.indexSealed(p, name, settled)
 }
 
-// fold moves the shard's references into the object to be sealed, once there
-// are most of them. References to objects that fold others stay, so that
-// each object is two steps from the shard and expires in its time.
-func (s *shard) fold(from *shard, most int) {
-	folds := func(r sealedRef) bool { return r.Folds }
-	plain := slices.DeleteFunc(slices.Clone(from.Sealed), folds)
-	if len(plain) < most {
+// fold moves the shard's references into the object to be sealed once there are
+// at least threshold of them. References to objects that hold folded ones stay in
+// the shard, so that each object is at most two references away from the shard
+// and expires in time.
+func (s *shard) fold(source *shard, threshold int) {
+	folds := func(r sealedRef) bool { return r.HasFolded }
+	plain := slices.DeleteFunc(slices.Clone(source.Sealed), folds)
+	if len(plain) < threshold {
 		return
 	}
 	s.Sealed = plain
-	from.Sealed = slices.DeleteFunc(from.Sealed, func(r sealedRef) bool { return !r.Folds })
+	source.Sealed = slices.DeleteFunc(source.Sealed, func(r sealedRef) bool { return !r.HasFolded })
 }
 
-// indexSealed caches the index of an object that was sealed here.
+// indexSealed caches the index of an object that this entry sealed.
 func (g *group) indexSealed(p *plan, name string, settled *shard) error {
 	var folded []*sealedIndex
 	for _, x := range p.view {
@@ -135,28 +140,28 @@
 	return err
 }
 
-// dropExpired takes references out whose records are all past the retention.
-// The objects are deleted once the shard's write has landed.
+// dropExpired removes references to objects whose records are all past the
+// retention. The objects are deleted once the shard's write has taken effect.
 func (g *group) dropExpired(s *shard, p *plan) {
-	s.expireWithdrawn(g.c.now())
-	oldest := g.c.now().Add(-g.c.cfg.Retention).Unix()
+	s.expireWithdrawn(g.claimer.now())
+	oldest := g.claimer.now().Add(-g.claimer.cfg.Retention).Unix()
 	s.Sealed = slices.DeleteFunc(s.Sealed, func(r sealedRef) bool {
-		if r.Newest >= oldest {
+		if r.NewestUnix >= oldest {
 			return false
 		}
-		p.expired = append(p.expired, r.Name)
+		p.expiredSealed = append(p.expiredSealed, r.Name)
 		return true
 	})
 }
 
-// deleteExpired is best effort: an object that stays costs space only. No claim
-// waits for it.
+// deleteExpired deletes sealed objects, best effort: an object that remains
+// only takes space. No claim waits for it.
 func (g *group) deleteExpired(names []string) {
-	ctx, cancel := context.WithTimeout(context.Background(), deleteTime)
+	ctx, cancel := context.WithTimeout(context.Background(), deleteTimeout)
 	defer cancel()
 	for _, name := range names {
-		g.c.m.reads.Inc(1)
-		obj, err := g.c.cfg.Store.Get(ctx, Kind, name)
+		g.claimer.counters.storeReads.Inc(1)
+		obj, err := g.claimer.cfg.Store.Get(ctx, Kind, name)
 		if err != nil {
 			continue
 		}
@@ -165,27 +170,27 @@
 				g.deleteSealed(ctx, ref.Name)
 			}
 		}
-		g.c.m.writes.Inc(1)
-		_, _ = g.c.cfg.Store.Delete(ctx, Kind, name, obj.Version)
+		g.claimer.counters.storeWrites.Inc(1)
+		_, _ = g.claimer.cfg.Store.Delete(ctx, Kind, name, obj.Version)
 	}
 }
 
-// deleteTime bounds the deletion of what expired at one time.
-const deleteTime = 30 * time.Second
+// deleteTimeout limits one call of deleteExpired.
+const deleteTimeout = 30 * time.Second
 
 func (g *group) deleteSealed(ctx context.Context, name string) {
-	g.c.m.reads.Inc(1)
-	obj, err := g.c.cfg.Store.Get(ctx, Kind, name)
+	g.claimer.counters.storeReads.Inc(1)
+	obj, err := g.claimer.cfg.Store.Get(ctx, Kind, name)
 	if err == nil {
-		g.c.m.writes.Inc(1)
-		_, _ = g.c.cfg.Store.Delete(ctx, Kind, name, obj.Version)
+		g.claimer.counters.storeWrites.Inc(1)
+		_, _ = g.claimer.cfg.Store.Delete(ctx, Kind, name, obj.Version)
 	}
 }
 
-// deleteOrphan removes a sealed object whose shard write certainly failed.
+// deleteOrphan deletes a new sealed object whose shard write certainly failed.
 func (g *group) deleteOrphan(ctx context.Context, p *plan) {
-	if p.orphan.Name != "" {
-		g.c.m.writes.Inc(1)
-		_, _ = g.c.cfg.Store.Delete(ctx, Kind, p.orphan.Name, p.orphan.Version)
+	if p.newSealed.Name != "" {
+		g.claimer.counters.storeWrites.Inc(1)
+		_, _ = g.claimer.cfg.Store.Delete(ctx, Kind, p.newSealed.Name, p.newSealed.Version)
 	}
 }
--- a/claim/sealed_index.go
+++ b/claim/sealed_index.go
@@ -14,19 +14,20 @@
 	"github.com/briarturn/briarturn/objectapi"
 )
 
-// indexHash is the first half of a key's hash, for an hour of claims has to fit
-// a node's memory. Two keys of a shard that share it, one chance in millions an
-// hour at a thousand claims a second, cost one of them a false "unknown".
+// indexHash is the first half of a key's hash, because an hour of claims has to
+// fit into a node's memory. If two keys of a shard share it, one of them gets a
+// false Unknown; at a thousand claims per second the chance is one in millions
+// per hour.
 type indexHash [hashBytes / 2]byte
 
 // sealedKey is one key of a sealed object.
 type sealedKey struct {
 	hash   indexHash
-	object uint16 // in sealedIndex.objects
+	object uint16 // index in sealedIndex.objects
 }
 
-// compareKeys orders by hash, and the newest record first: an issued key's
-// outcome may have been added twice.
+// compareKeys orders by hash and then newest record first, because the outcome
+// of an issued key may have been added twice.
 func compareKeys(a, b sealedKey) int {
 	if c := bytes.Compare(a.hash[:], b.hash[:]); c != 0 {
 		return c
@@ -34,15 +35,15 @@
 	return cmp.Compare(b.object, a.object)
 }
 
-// sealedIndex is what an entry keeps of a sealed object and those folded into
-// it. It never changes.
+// sealedIndex is the in-memory index of a sealed object and of those folded
+// into it. It is immutable.
 type sealedIndex struct {
 	objects []string // oldest first
 	keys    []sealedKey
 }
 
-// newSealedIndex indexes an object and the indexes of those folded into it,
-// oldest first.
+// newSealedIndex builds the index of an object from its claims and the indexes
+// of the objects folded into it, oldest first.
 func newSealedIndex(name string, s *shard, folded []*sealedIndex) (*sealedIndex, error) {
 	x := &sealedIndex{}
 	for _, f := range folded {
@@ -81,13 +82,13 @@
 	return indexHash(raw[:len(h)]), nil
 }
 
-// sealedView is the indexes of one reading of a shard, oldest first. A group
-// looks keys up in the view of the reading that it writes on: in a cache that
-// another reading brought up to date, an object could be missing, and its keys
-// would be granted again.
+// sealedView holds the indexes for one read of a shard, oldest first. A group
+// looks keys up in the view of the read that its write is based on. A cache
+// that another read has updated could lack an object, and its keys would be
+// granted again.
 type sealedView []*sealedIndex
 
-// find returns the object that holds a key's record, newest first.
+// find returns the newest object that holds a record of the key.
 func (v sealedView) find(hash string) (string, bool) {
 	h, err := decodeHash(hash)
 	if err != nil {
@@ -101,37 +102,38 @@
 	return "", false
 }
 
-// sealedSet caches the indexes of one shard's sealed objects. They never
-// change, so each is read once.
-type sealedSet struct {
+// indexCache caches the indexes of one shard's sealed objects. The objects are
+// immutable, so each is read once.
+type indexCache struct {
 	mu      sync.Mutex // guards indexes
 	indexes map[string]*sealedIndex
 }
 
-func newSealedSet() *sealedSet { return &sealedSet{indexes: map[string]*sealedIndex{}} }
+func newIndexCache() *indexCache { return &indexCache{indexes: map[string]*sealedIndex{}} }
 
-func (d *sealedSet) get(name string) *sealedIndex {
+func (d *indexCache) get(name string) *sealedIndex {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.indexes[name]
 }
 
-func (d *sealedSet) put(name string, x *sealedIndex) {
+func (d *indexCache) put(name string, x *sealedIndex) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.indexes[name] = x
 }
 
-// sealedReaders is how many reads of sealed objects an entry that takes a shard
-// over has on their way at once.
-const sealedReaders = 8
+// maxSealedReads limits the concurrent reads of sealed objects by an entry that
+// takes over a shard.
+const maxSealedReads = 8
 
-// load returns the view of refs, reading what it lacks. What was read stays
-// cached if it fails. An object that is gone had expired, so the reading of the
-// shard was old: ErrConflict, read the shard again.
-func (d *sealedSet) load(ctx context.Context, c *Claimer, refs []sealedRef) (sealedView, error) {
+// loadView returns the view of refs and reads the objects that are not cached.
+// If it fails, the objects read so far stay cached. An object that no longer
+// exists had expired, so the read of the shard was outdated: the error is
+// ErrConflict, and the shard is read again.
+func (d *indexCache) loadView(ctx context.Context, c *Claimer, refs []sealedRef) (sealedView, error) {
 	var readers sync.WaitGroup
-	free := make(chan struct{}, sealedReaders)
+	free := make(chan struct{}, maxSealedReads)
 	view := make(sealedView, len(refs))
 	failed := make([]error, len(refs))
 	for i, ref := range refs {
@@ -140,7 +142,7 @@
 		}
 		free <- struct{}{}
 		readers.Go(func() {
-			view[i], failed[i] = d.read(ctx, c, ref.Name)
+			view[i], failed[i] = d.loadIndex(ctx, c, ref.Name)
 			<-free
 		})
 	}
@@ -150,16 +152,16 @@
 			return nil, err
 		}
 	}
-	d.keep(refs)
+	d.retain(refs)
 	return view, nil
 }
 
-// read indexes a sealed object and those folded into it.
-func (d *sealedSet) read(ctx context.Context, c *Claimer, name string) (*sealedIndex, error) {
+// loadIndex reads and indexes a sealed object and those folded into it.
+func (d *indexCache) loadIndex(ctx context.Context, c *Claimer, name string) (*sealedIndex, error) {
 	if x := d.get(name); x != nil {
 		return x, nil
 	}
-	c.m.reads.Inc(1)
+	c.counters.storeReads.Inc(1)
 	s, err := readSealed(ctx, c.cfg.Store, name)
 	if errors.Is(err, objectapi.ErrNotFound) {
 		return nil, errors.Annotatef(objectapi.ErrConflict, "step read sealed claims %s", name)
@@ -169,7 +171,7 @@
 	}
 	var folded []*sealedIndex
 	for _, ref := range s.Sealed {
-		x, err := d.read(ctx, c, ref.Name)
+		x, err := d.loadIndex(ctx, c, ref.Name)
 		if err != nil {
 			return nil, err
 		}
@@ -182,8 +184,8 @@
 	return x, err
 }
 
-// keep forgets what is no longer referred to.
-func (d *sealedSet) keep(refs []sealedRef) {
+// retain drops the indexes of objects that refs does not contain.
+func (d *indexCache) retain(refs []sealedRef) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	maps.DeleteFunc(d.indexes, func(name string, _ *sealedIndex) bool {
