--- a/lease/broken_test.go
+++ b/lease/broken_test.go
@@ -6,8 +6,8 @@
 	"github.com/briarturn/briarturn/invariant/invarianttest"
 )
 
-// The invariant of the package notices a fence that does not rise.
-func TestBrokenStatesAreNoticed(t *testing.T) {
+// Checks that the invariant detects a fencing number that does not increase.
+func TestInvariantsDetectBrokenState(t *testing.T) {
 	invarianttest.ExpectViolation(t, "lease.fence_rises", func() {
 		m := NewManager(Config{})
 		m.checkFence("orders", 3)
--- a/lease/gate.go
+++ b/lease/gate.go
@@ -10,51 +10,54 @@
 	"github.com/briarturn/briarturn/objectapi"
 )
 
-// ErrStaleFence means that an order came under an older term than the newest known.
+// ErrStaleFence means that an order carries a lower fencing number than the
+// highest one known.
 const ErrStaleFence = errors.ConstError("stale fencing number")
 
-// FenceChecker keeps the highest fencing number of each lease for a backend server that
-// does not check them itself. It is safe for concurrent use.
+// FenceChecker keeps the highest fencing number of each lease for a backend
+// server that does not check fences itself. It is safe for concurrent use.
 type FenceChecker struct {
 	store objectapi.Store
 
-	mu      sync.Mutex // guards highest
-	highest map[string]uint64
+	mu            sync.Mutex // guards highestFences
+	highestFences map[string]uint64
 }
 
-// NewFenceChecker returns a gate that learns its floors from store.
+// NewFenceChecker returns a checker that reads its minimum fences from store.
 func NewFenceChecker(store objectapi.Store) *FenceChecker {
-	return &FenceChecker{store: store, highest: map[string]uint64{}}
+	return &FenceChecker{store: store, highestFences: map[string]uint64{}}
 }
 
-// Admit returns nil if an order under this fence may be carried out, and
-// ErrStaleFence if a newer term is known. The first order under a name reads
-// the floor from the store; where that fails, the order must not be carried out
-// and the store's error is returned: a gate that forgot its floor over a restart
-// would let the holder of an old term through.
+// Admit returns nil if an order with this fence may be carried out, and
+// ErrStaleFence if a higher fence is known. The first order for a name reads
+// the minimum fence from the store. If that read fails, Admit returns its
+// error and the order must not be carried out: a checker that lost its minimum
+// in a restart would admit orders of an earlier holder.
 func (g *FenceChecker) Admit(ctx context.Context, name string, fence uint64) error {
-	if err := g.learn(ctx, name); err != nil {
+	if err := g.loadFloor(ctx, name); err != nil {
 		return errors.Annotatef(err, "step learn fence, lease %s", name)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if fence < g.highest[name] {
-		return errors.Annotatef(ErrStaleFence, "lease %s: %d after %d", name, fence, g.highest[name])
+	if fence < g.highestFences[name] {
+		return errors.Annotatef(ErrStaleFence, "lease %s: %d after %d", name, fence, g.highestFences[name])
 	}
-	g.highest[name] = fence
+	g.highestFences[name] = fence
 	return nil
 }
 
-// HighestFence returns the highest fence known of a lease, zero if none.
+// HighestFence returns the highest known fence of a lease, zero if none.
 func (g *FenceChecker) HighestFence(name string) uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.highest[name]
+	return g.highestFences[name]
 }
 
-func (g *FenceChecker) learn(ctx context.Context, name string) error {
+// loadFloor reads the minimum fence of a lease from the store unless it is
+// known.
+func (g *FenceChecker) loadFloor(ctx context.Context, name string) error {
 	g.mu.Lock()
-	_, known := g.highest[name]
+	_, known := g.highestFences[name]
 	g.mu.Unlock()
 	if known {
 		return nil
@@ -63,17 +66,18 @@
 	if err != nil {
 		return err
 	}
-	var value record
+	var value leaseRecord
 	if err := json.Unmarshal(obj.Data, &value); err != nil {
 		return err
 	}
 	floor := value.Fence
 	if floor == 0 {
-		// Made anew after a deletion: every earlier fence is below its version.
+		// The object was recreated after a deletion: every earlier fence is
+		// below its version.
 		floor = obj.Version
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.highest[name] = max(g.highest[name], floor)
+	g.highestFences[name] = max(g.highestFences[name], floor)
 	return nil
 }
--- a/lease/gate_test.go
+++ b/lease/gate_test.go
@@ -10,17 +10,17 @@
 	"github.com/briarturn/briarturn/objectapi"
 )
 
-// Symptom: an engine that doesn't check fences carries out an order of a leader
-// that was replaced. Sequence: first holder, second holder, the agent restarts
-// and so forgets, the first holder wakes and sends. Cause: a floor kept in
-// memory only.
-func TestGateRelearnsFloorAfterRestart(t *testing.T) {
+// Guards against an engine that does not check fences carrying out an order of
+// a replaced leader. The agent restarts after the second holder has acquired
+// the lease, then the first holder resumes and sends an order. A minimum fence
+// kept only in memory is lost in the restart.
+func TestFenceCheckerReloadsFloorAfterRestart(t *testing.T) {
 	withStore(t, func(t *testing.T, store *standin.Memory) {
-		first := acquire(t, manager(store, "a"))
+		first := acquire(t, newTestManager(store, "a"))
 		if err := first.Release(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		second := acquire(t, manager(store, "b"))
+		second := acquire(t, newTestManager(store, "b"))
 		restarted := NewFenceChecker(store)
 		if err := restarted.Admit(t.Context(), testName, first.Fence()); !errors.Is(err, ErrStaleFence) {
 			t.Errorf("old fence: %v, want ErrStaleFence", err)
@@ -32,9 +32,9 @@
 	})
 }
 
-// Symptom: as above, in a store outage. Cause: a gate that lets the first order
-// through because it can't learn its floor.
-func TestGateRefusesWithoutFloor(t *testing.T) {
+// The same order in a store outage: a checker must not admit the first order
+// when it cannot read its minimum fence.
+func TestFenceCheckerRejectsWithoutFloor(t *testing.T) {
 	store := standin.NewMemory(standin.Config{})
 	store.SetFaults(standin.Faults{Down: true})
 	err := NewFenceChecker(store).Admit(t.Context(), testName, 7)
@@ -43,14 +43,14 @@
 	}
 }
 
-// Symptom: the invariant on fences never fires, whatever happens. Sequence: one
-// fencing number is given to two terms.
-func TestRepeatedFenceIsSeen(t *testing.T) {
+// Checks that the fencing invariant fires when two terms get the same fencing
+// number.
+func TestRepeatedFenceIsDetected(t *testing.T) {
 	m := NewManager(Config{Logger: quiet.Logger()})
 	m.checkFence(testName, 5)
 	defer func() {
 		if recover() == nil {
-			t.Error("a repeated fence went unseen")
+			t.Error("a repeated fence was not detected")
 		}
 	}()
 	m.checkFence(testName, 5)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -11,22 +11,22 @@
 	"github.com/briarturn/briarturn/objectapi"
 )
 
-// Lease is one held term, kept up by renewal until it lapses, is lost or is
+// Lease is one held term, extended by renewal until it expires, is lost or is
 // released. Its methods are safe for concurrent use.
 type Lease struct {
-	m     *Manager
-	name  string
-	fence uint64
-	done  chan struct{}
-
-	// renewing serialises writes of this lease; taken before mu.
-	renewing sync.Mutex
-
-	mu      sync.Mutex // guards what follows
-	version uint64     // of the object as this holder last wrote it
-	until   time.Time  // end of the term, monotonic
-	ended   bool
-	sent    map[string]time.Time // marks of writes without an answer: when they were sent
+	manager *Manager
+	name    string
+	fence   uint64
+	done    chan struct{}
+
+	// writeMu serializes the writes of this lease. Lock it before mu.
+	writeMu sync.Mutex
+
+	mu                sync.Mutex // guards the fields below
+	version           uint64     // version of the object that this holder last wrote
+	expiresAt         time.Time  // end of the term, monotonic
+	ended             bool
+	unconfirmedWrites map[string]time.Time // send time of each write without a response, by mark
 }
 
 // Name returns the lease's object name.
@@ -36,16 +36,17 @@
 // is given under the lease.
 func (l *Lease) Fence() uint64 { return l.fence }
 
-// Held reports whether the term still runs by this process's own clock. It
-// needs no timer to have fired, so it is right at once after a pause.
+// Held reports whether the term has not ended by this process's own clock. It
+// does not depend on a timer, so it is correct immediately after a pause of
+// the process.
 func (l *Lease) Held() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !l.ended && l.m.now().Before(l.until)
+	return !l.ended && l.manager.now().Before(l.expiresAt)
 }
 
-// Check returns ErrNotHeld once the term is over. Call it right before each
-// order.
+// Check returns ErrNotHeld once the term is over. Call it immediately before
+// each order.
 func (l *Lease) Check() error {
 	if l.Held() {
 		return nil
@@ -53,44 +54,44 @@
 	return errors.Annotatef(ErrNotHeld, "step check, lease %s", l.name)
 }
 
-// Done is closed when the term is over, for whatever reason.
+// Done returns a channel that is closed when the term ends for any reason.
 func (l *Lease) Done() <-chan struct{} { return l.done }
 
-// Release gives the lease up so that the next holder need not wait a term. The
-// term ends here at once, also when the store can't be reached; then the next
-// holder waits the term out.
+// Release gives the lease up so that the next holder does not have to wait a
+// term. The local term ends at once, even if the store cannot be reached; in
+// that case the next holder waits until the term has passed.
 func (l *Lease) Release(ctx context.Context) error {
 	l.end()
-	l.renewing.Lock()
-	defer l.renewing.Unlock()
+	l.writeMu.Lock()
+	defer l.writeMu.Unlock()
 	l.mu.Lock()
 	version := l.version
 	l.mu.Unlock()
-	value := l.m.value(l.fence)
+	value := l.manager.newRecord(l.fence)
 	value.Released = true
-	_, err := l.m.update(ctx, l.name, value, version)
+	_, err := l.manager.updateRecord(ctx, l.name, value, version)
 	if errors.Is(err, objectapi.ErrConflict) || errors.Is(err, objectapi.ErrNotFound) {
 		return nil
 	}
 	return errors.Annotatef(err, "step release, lease %s", l.name)
 }
 
-// renew writes a new term once. It returns ErrNotHeld when the lease is lost
-// and other errors when trying again may help.
+// renew writes a new term once. It returns ErrNotHeld when the lease is lost,
+// and another error when a retry may succeed.
 func (l *Lease) renew(ctx context.Context) error {
-	l.renewing.Lock()
-	defer l.renewing.Unlock()
+	l.writeMu.Lock()
+	defer l.writeMu.Unlock()
 	if err := l.Check(); err != nil {
 		l.end()
 		return err
 	}
-	value := l.m.value(l.fence)
+	value := l.manager.newRecord(l.fence)
 	l.mu.Lock()
 	version := l.version
-	start := l.m.now()
-	l.sent[value.Mark] = start
+	start := l.manager.now()
+	l.unconfirmedWrites[value.Mark] = start
 	l.mu.Unlock()
-	obj, err := l.m.update(ctx, l.name, value, version)
+	obj, err := l.manager.updateRecord(ctx, l.name, value, version)
 	switch {
 	case err == nil:
 		return l.extend(obj.Version, value.Mark)
@@ -100,16 +101,16 @@
 		l.end()
 		return errors.Annotatef(ErrNotHeld, "step renew, lease %s: object deleted", l.name)
 	case errors.Is(err, objectapi.ErrUnavailable), errors.Is(err, objectapi.ErrThrottled):
-		l.forget(value.Mark)
+		l.dropMark(value.Mark)
 	}
 	return errors.Annotatef(err, "step renew, lease %s", l.name)
 }
 
-// readBack settles a write whose answer was lost, or a conflict, which may be
-// with an earlier write of this very holder that landed late: the mark in the
-// object tells whose write it was.
+// readBack resolves a write whose response was lost, or a conflict. The
+// conflict may be with an earlier, delayed write of the same holder: the mark
+// in the object identifies the write.
 func (l *Lease) readBack(ctx context.Context) error {
-	obj, err := l.m.cfg.Store.Get(ctx, Kind, l.name)
+	obj, err := l.manager.cfg.Store.Get(ctx, Kind, l.name)
 	if errors.Is(err, objectapi.ErrNotFound) {
 		l.end()
 		return errors.Annotatef(ErrNotHeld, "step read back, lease %s: object deleted", l.name)
@@ -117,60 +118,61 @@
 	if err != nil {
 		return errors.Annotatef(err, "step read back, lease %s", l.name)
 	}
-	var value record
+	var value leaseRecord
 	if err := json.Unmarshal(obj.Data, &value); err != nil {
 		return errors.Annotatef(err, "step read back, lease %s", l.name)
 	}
 	l.mu.Lock()
-	_, mine := l.sent[value.Mark]
+	_, mine := l.unconfirmedWrites[value.Mark]
 	unchanged := obj.Version <= l.version
 	l.mu.Unlock()
 	if mine {
 		return l.extend(obj.Version, value.Mark)
 	}
 	if unchanged {
-		// Not taken effect yet, or a stale read: the next renewal is
-		// conditional on the same version, so only one of the two can land.
+		// The write has not taken effect yet, or the read is stale. The next
+		// renewal is conditional on the same version, so at most one of the
+		// two writes can succeed.
 		return errors.Annotatef(objectapi.ErrOutcomeUnknown, "step read back, lease %s", l.name)
 	}
 	l.end()
-	return errors.Annotatef(ErrNotHeld, "step read back, lease %s: taken by %s", l.name, value.Holder)
+	return errors.Annotatef(ErrNotHeld, "step read back, lease %s: acquired by %s", l.name, value.Holder)
 }
 
 // extend moves the end of the term to one term after the write with this mark
 // was sent.
 func (l *Lease) extend(version uint64, mark string) error {
-	answered := l.m.now()
+	answered := l.manager.now()
 	l.mu.Lock()
-	start, known := l.sent[mark]
-	if l.m.countFromAnswer {
+	start, known := l.unconfirmedWrites[mark]
+	if l.manager.countTermFromResponse {
 		start = answered
 	}
-	alive := !l.ended && answered.Before(l.until)
+	alive := !l.ended && answered.Before(l.expiresAt)
 	if known && alive {
 		l.version = version
-		l.until = start.Add(l.m.cfg.Term)
-		clear(l.sent)
+		l.expiresAt = start.Add(l.manager.cfg.Term)
+		clear(l.unconfirmedWrites)
 	}
 	l.mu.Unlock()
 	if alive {
-		l.m.renewals.Inc(1)
+		l.manager.renewals.Inc(1)
 		return nil
 	}
-	// The answer came after the term had lapsed. Done has told the user that
-	// the lease is gone, so it must not come back to life under this fence.
+	// The response arrived after the term had expired. Done is closed, so the
+	// lease must not be held again under this fence.
 	l.end()
-	return errors.Annotatef(ErrNotHeld, "step renew, lease %s: answered after the term", l.name)
+	return errors.Annotatef(ErrNotHeld, "step renew, lease %s: response received after the term", l.name)
 }
 
-// forget drops the mark of a write that certainly took no effect.
-func (l *Lease) forget(mark string) {
+// dropMark removes the mark of a write that certainly had no effect.
+func (l *Lease) dropMark(mark string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.sent, mark)
+	delete(l.unconfirmedWrites, mark)
 }
 
-// end closes Done once.
+// end marks the lease as ended and closes Done. Later calls do nothing.
 func (l *Lease) end() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -179,17 +181,18 @@
 	}
 	l.ended = true
 	close(l.done)
-	l.m.ended.Inc(1)
+	l.manager.ended.Inc(1)
 }
 
-// left returns how much of the term remains.
-func (l *Lease) left() time.Duration {
+// remaining returns the time until the term ends, zero once the lease has
+// ended.
+func (l *Lease) remaining() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ended {
 		return 0
 	}
-	return l.until.Sub(l.m.now())
+	return l.expiresAt.Sub(l.manager.now())
 }
 
 func (l *Lease) isEnded() bool {
@@ -198,11 +201,12 @@
 	return l.ended
 }
 
-// keep renews until the lease is over. The write's context ends with the term:
-// a store that does not answer must not keep a lapsed lease looking alive.
-func (l *Lease) keep() {
+// renewLoop renews until the lease ends. The context of each write ends with
+// the term, so that a store that does not respond cannot keep an expired lease
+// open.
+func (l *Lease) renewLoop() {
 	for {
-		wait := min(l.m.cfg.RenewInterval, l.left())
+		wait := min(l.manager.cfg.RenewInterval, l.remaining())
 		select {
 		case <-l.done:
 			return
@@ -211,15 +215,15 @@
 		if l.isEnded() {
 			return
 		}
-		left := l.left()
+		left := l.remaining()
 		if left <= 0 {
 			l.end()
-			l.m.log.WithField("lease", l.name).Warn("lease lapsed")
+			l.manager.log.WithField("lease", l.name).Warn("lease expired")
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), left)
 		stop := context.AfterFunc(ctx, func() {
-			if l.left() <= 0 {
+			if l.remaining() <= 0 {
 				l.end()
 			}
 		})
@@ -227,11 +231,11 @@
 		stop()
 		cancel()
 		if errors.Is(err, ErrNotHeld) {
-			l.m.log.WithError(err).Warn("lease lost")
+			l.manager.log.WithError(err).Warn("lease lost")
 			return
 		}
 		if err != nil {
-			l.m.failures.Inc(1)
+			l.manager.renewFailures.Inc(1)
 		}
 	}
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -12,17 +12,18 @@
 	standin "github.com/briarturn/briarturn/internal/standin/objectapi"
 )
 
-func manager(store *standin.Memory, holder string) *Manager {
+func newTestManager(store *standin.Memory, holder string) *Manager {
 	return NewManager(Config{Store: store, Holder: holder, Term: testTerm, Logger: quiet.Logger()})
 }
 
-// withStore runs a test in virtual time, with a store.
+// withStore runs a test in virtual time with an in-memory store.
 func withStore(t *testing.T, test func(t *testing.T, store *standin.Memory)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { test(t, standin.NewMemory(standin.Config{})) })
 }
 
-// acquire waits for the lease; the first acquisition of a name takes a term.
+// acquire waits for the lease. The first acquisition of a name takes a full
+// term.
 func acquire(t *testing.T, m *Manager) *Lease {
 	t.Helper()
 	l, err := m.Acquire(t.Context(), testName)
@@ -32,10 +33,10 @@
 	return l
 }
 
-func TestReleaseHandsOverAtOnce(t *testing.T) {
+func TestReleaseAllowsImmediateTakeover(t *testing.T) {
 	withStore(t, func(t *testing.T, store *standin.Memory) {
-		first := acquire(t, manager(store, "a"))
-		other := manager(store, "b")
+		first := acquire(t, newTestManager(store, "a"))
+		other := newTestManager(store, "b")
 		if _, err := other.TryAcquire(t.Context(), testName); !errors.Is(err, ErrHeldByOther) {
 			t.Fatalf("got %v, want ErrHeldByOther", err)
 		}
@@ -55,32 +56,31 @@
 
 func TestRenewalKeepsLease(t *testing.T) {
 	withStore(t, func(t *testing.T, store *standin.Memory) {
-		l := acquire(t, manager(store, "a"))
+		l := acquire(t, newTestManager(store, "a"))
 		ctx, cancel := context.WithTimeout(t.Context(), 20*testTerm)
 		defer cancel()
-		if _, err := manager(store, "b").Acquire(ctx, testName); !errors.Is(err, context.DeadlineExceeded) {
+		if _, err := newTestManager(store, "b").Acquire(ctx, testName); !errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("got %v, want a timeout: the lease was renewed", err)
 		}
 		if !l.Held() {
-			t.Error("lease lapsed with a healthy store")
+			t.Error("lease expired with a healthy store")
 		}
 		_ = l.Release(t.Context())
 	})
 }
 
-// Symptom: a leader goes on giving orders through a store outage after its
-// lease could have gone to another. Sequence: lease held; then the store is
-// down, or each call takes an hour, so that no renewal gets through. Cause: a
-// holder that waits for the store's verdict, or a renewal that isn't bounded by
-// the term.
-func TestStoreFaultEndsLeaseInTime(t *testing.T) {
+// Guards against a leader that gives orders in a store outage after another
+// process could have acquired its lease. The store is down or each call takes
+// an hour, so that no renewal succeeds; the lease must still end within its
+// term.
+func TestStoreFaultEndsLeaseWithinTerm(t *testing.T) {
 	for name, faults := range map[string]standin.Faults{
 		"down": {Down: true},
 		"hung": {LatencyMS: time.Hour.Milliseconds()},
 	} {
 		t.Run(name, func(t *testing.T) {
 			withStore(t, func(t *testing.T, store *standin.Memory) {
-				l := acquire(t, manager(store, "a"))
+				l := acquire(t, newTestManager(store, "a"))
 				begun := time.Now()
 				store.SetFaults(faults)
 				<-l.Done()
@@ -95,13 +95,13 @@
 	}
 }
 
-// Symptom: the lease is lost at each lost answer, or taken by nobody for a
-// term. Sequence: every write takes effect and its answer is lost. Cause: a
-// write settled by its answer instead of by the mark in the object.
-func TestLostAnswersAreSettledByMark(t *testing.T) {
+// Guards against a lease that is lost, or not held by anybody for a term,
+// because the responses of its writes are lost. Every write takes effect here,
+// so the mark in the object must decide the outcome.
+func TestLostResponsesAreResolvedByMark(t *testing.T) {
 	withStore(t, func(t *testing.T, store *standin.Memory) {
 		store.SetFaults(standin.Faults{LoseProbability: 1})
-		l := acquire(t, manager(store, "a"))
+		l := acquire(t, newTestManager(store, "a"))
 		time.Sleep(10 * testTerm)
 		if !l.Held() {
 			t.Error("lease lost though every write took effect")
@@ -110,34 +110,35 @@
 	})
 }
 
-// Symptom: a process that was paused acts as leader on waking. Sequence: it
-// acquires, is paused for longer than the term, another takes over, it wakes
-// before any timer of its own fired. Cause: a lease judged by a timer.
-func TestPausedHolderSeesLapseOnWake(t *testing.T) {
+// Guards against a process that acts as leader after a pause. The holder is
+// paused for longer than its term, another process acquires the lease, and the
+// first resumes before any of its timers fires, so Held must not depend on a
+// timer.
+func TestPausedHolderDetectsExpiryOnResume(t *testing.T) {
 	store := standin.NewMemory(standin.Config{})
 	clock := time.Unix(0, 0)
-	paused, other := manager(store, "a"), manager(store, "b")
+	paused, other := newTestManager(store, "a"), newTestManager(store, "b")
 	paused.now = func() time.Time { return clock }
 	other.now = func() time.Time { return clock }
-	lease := tryUntil(t, paused, &clock)
-	_, _ = other.try(t.Context(), testName)
+	lease := acquireWithClock(t, paused, &clock)
+	_, _ = other.tryAcquire(t.Context(), testName)
 	clock = clock.Add(2 * testTerm)
 	if lease.Held() {
-		t.Error("held on wake")
+		t.Error("held after the pause")
 	}
-	taken := tryUntil(t, other, &clock)
+	taken := acquireWithClock(t, other, &clock)
 	if taken.Fence() <= lease.Fence() {
 		t.Errorf("fence %d does not stop orders under %d", taken.Fence(), lease.Fence())
 	}
 	if err := lease.renew(t.Context()); !errors.Is(err, ErrNotHeld) {
-		t.Errorf("renew after the lapse: %v, want ErrNotHeld", err)
+		t.Errorf("renew after expiry: %v, want ErrNotHeld", err)
 	}
 }
 
-func tryUntil(t *testing.T, m *Manager, clock *time.Time) *Lease {
+func acquireWithClock(t *testing.T, m *Manager, clock *time.Time) *Lease {
 	t.Helper()
 	for range 10 {
-		l, err := m.try(t.Context(), testName)
+		l, err := m.tryAcquire(t.Context(), testName)
 		if err == nil {
 			return l
 		}
@@ -147,13 +148,12 @@
 	return nil
 }
 
-// Symptom: after an operator deleted the lease object, two leaders at once, and
-// agents refuse the new one's orders as stale. Sequence: held, deleted, a
-// contender arrives. Cause: an absent object taken for a free one, and fences
-// that begin again at one.
+// Guards against two leaders, and against agents that reject the new leader's
+// orders as stale, after an operator deleted the lease object during a term.
+// An absent object must not count as free, and fences must not restart at one.
 func TestDeletionKeepsTermAndFence(t *testing.T) {
 	withStore(t, func(t *testing.T, store *standin.Memory) {
-		first := acquire(t, manager(store, "a"))
+		first := acquire(t, newTestManager(store, "a"))
 		o, err := store.Get(t.Context(), Kind, testName)
 		if err != nil {
 			t.Fatal(err)
@@ -161,7 +161,7 @@
 		if _, err := store.Delete(t.Context(), Kind, testName, o.Version); err != nil {
 			t.Fatal(err)
 		}
-		second := acquire(t, manager(store, "b"))
+		second := acquire(t, newTestManager(store, "b"))
 		if first.Held() {
 			t.Error("two holders")
 		}
--- a/lease/machine_test.go
+++ b/lease/machine_test.go
@@ -7,19 +7,19 @@
 	"pgregory.net/rapid"
 )
 
-// Symptom: two processes act as leader at one time. Sequence: any mix of slow
-// calls and answers, lost answers, outages, pauses and deletions among three
-// contenders with clocks that don't agree. Cause looked for: a term that the
-// holder counts longer than a contender waits.
-func TestNeverTwoHolders(t *testing.T) {
+// Checks that no two of three contenders hold the lease at the same time, with
+// clocks that do not agree, slow calls and responses, lost responses, outages,
+// pauses and deletions. Two holders are possible if the holder counts its term
+// longer than a contender waits.
+func TestAtMostOneHolder(t *testing.T) {
 	terms := 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") }, 3, false)
+		w := newSimulation(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") }, 3, false)
 		t.Repeat(map[string]func(*rapid.T){
-			"act":   func(*rapid.T) { w.act() },
-			"again": func(*rapid.T) { w.act() },
-			"pass":  func(*rapid.T) { w.pass() },
-			"fault": func(*rapid.T) { w.fault() },
+			"act":   func(*rapid.T) { w.step() },
+			"again": func(*rapid.T) { w.step() },
+			"pass":  func(*rapid.T) { w.advanceTime() },
+			"fault": func(*rapid.T) { w.injectFault() },
 			"": func(t *rapid.T) {
 				if w.err != nil {
 					t.Fatal(w.err)
@@ -34,19 +34,20 @@
 	}
 }
 
-// runSeeds drives worlds from fixed seeds and returns the violations and terms.
+// runSeeds runs simulations with fixed seeds and returns the number of seeds
+// with a violation and the number of terms.
 func runSeeds(seeds uint64, mutant bool) (violations, terms int) {
 	for seed := range seeds {
 		rnd := rand.New(rand.NewPCG(seed, 1))
-		w := newWorld(rnd.IntN, 3, mutant)
+		w := newSimulation(rnd.IntN, 3, mutant)
 		for range 200 {
 			switch rnd.IntN(6) {
 			case 0:
-				w.fault()
+				w.injectFault()
 			case 1, 2:
-				w.pass()
+				w.advanceTime()
 			default:
-				w.act()
+				w.step()
 			}
 		}
 		terms += w.terms
@@ -57,10 +58,9 @@
 	return violations, terms
 }
 
-// Symptom: the check above passes whatever the code does. Sequence: the same
-// actions on a variant that counts its term from after the answer, so that a
-// slow answer adds to the term. Cause: the mutation; it must be seen.
-func TestTermFromAnswerIsCaught(t *testing.T) {
+// Checks that the simulation detects a faulty variant that counts its term
+// from after the response, so that a slow response lengthens the term.
+func TestTermCountedFromResponseIsDetected(t *testing.T) {
 	const seeds = 300
 	good, terms := runSeeds(seeds, false)
 	bad, _ := runSeeds(seeds, true)
@@ -69,6 +69,6 @@
 		t.Errorf("%d seeds with two holders", good)
 	}
 	if bad == 0 {
-		t.Error("the mutant was not caught")
+		t.Error("the mutant was not detected")
 	}
 }
--- a/lease/manager.go
+++ b/lease/manager.go
@@ -22,66 +22,69 @@
 
 // Errors of a lease. Test with errors.Is.
 const (
-	// ErrNotHeld: the term is over; orders under its fence must stop.
+	// ErrNotHeld means that the term is over. Orders under its fence must
+	// stop.
 	ErrNotHeld = errors.ConstError("lease not held")
-	// ErrHeldByOther: another term may still run.
+	// ErrHeldByOther means that the term of another holder may not have ended.
 	ErrHeldByOther = errors.ConstError("lease held by other")
 )
 
-// DefaultTerm is the length of a term where Config leaves it zero.
+// DefaultTerm is the length of a term if Config.Term is zero.
 const DefaultTerm = 10 * time.Second
 
-// Renewals in a term, so that two may fail before the term lapses, and the part
-// by which an observer waits longer than the term, for clocks that run at
-// slightly different rates.
 const (
+	// renewalsPerTerm is the number of renewals in a term. Two may fail before
+	// the term ends.
 	renewalsPerTerm = 3
-	driftPart       = 100
+	// driftDivisor is the divisor of the term that gives the extra time by
+	// which a contender waits longer than the term, since clocks run at
+	// slightly different rates.
+	driftDivisor = 100
 )
 
 var fenceRises = invariant.New("lease.fence_rises",
 	"each new term's fencing number is greater than any that this process saw of the lease")
 
-// Config of a Manager.
+// Config configures a Manager.
 type Config struct {
 	Store         objectapi.Store
-	Holder        string        // name in the object, for people; need not be unique
+	Holder        string        // name stored in the object for operators; need not be unique
 	Term          time.Duration // DefaultTerm if zero
-	RenewInterval time.Duration // between renewals; a third of Term if zero
+	RenewInterval time.Duration // interval between renewals; a third of Term if zero
 	Logger        logrus.FieldLogger
 	Metrics       metrics.Registry
 }
 
 // Manager acquires leases for one process. It is safe for concurrent use.
 type Manager struct {
-	cfg      Config
-	log      logrus.FieldLogger
-	id       string // unique to this manager, part of every mark
-	writes   atomic.Uint64
-	now      func() time.Time
-	acquired metrics.Counter
-	renewals metrics.Counter
-	failures metrics.Counter
-	ended    metrics.Counter
+	cfg           Config
+	log           logrus.FieldLogger
+	id            string // unique to this manager, part of every mark
+	writes        atomic.Uint64
+	now           func() time.Time
+	acquired      metrics.Counter
+	renewals      metrics.Counter
+	renewFailures metrics.Counter
+	ended         metrics.Counter
 
-	// countFromAnswer is the fault that tests put in to show that they catch
-	// it: a term counted from after the answer.
-	countFromAnswer bool
+	// countTermFromResponse counts each term from after the response of its
+	// write. Tests set it to show that they detect this fault.
+	countTermFromResponse bool
 
-	mu   sync.Mutex // guards seen
-	seen map[string]observation
+	mu           sync.Mutex // guards observations
+	observations map[string]observation
 }
 
-// observation is how long this process has watched an object unchanged, by its
-// own clock.
+// observation records since when this process has observed an object
+// unchanged, by its own clock.
 type observation struct {
-	version uint64
-	since   time.Time
-	fence   uint64
+	version        uint64
+	unchangedSince time.Time
+	maxFence       uint64
 }
 
-// record is the object's value.
-type record struct {
+// leaseRecord is the stored value of a lease object.
+type leaseRecord struct {
 	Holder   string `json:"holder,omitempty"`
 	Mark     string `json:"mark"` // unique to the write
 	Fence    uint64 `json:"fence"`
@@ -104,20 +107,20 @@
 		cfg.Metrics = metrics.NewRegistry()
 	}
 	return &Manager{
-		cfg:      cfg,
-		log:      cfg.Logger,
-		id:       uuid.NewString(),
-		now:      time.Now,
-		acquired: metrics.GetOrRegisterCounter("lease.acquired", cfg.Metrics),
-		renewals: metrics.GetOrRegisterCounter("lease.renewed", cfg.Metrics),
-		failures: metrics.GetOrRegisterCounter("lease.renew_failed", cfg.Metrics),
-		ended:    metrics.GetOrRegisterCounter("lease.ended", cfg.Metrics),
-		seen:     map[string]observation{},
+		cfg:           cfg,
+		log:           cfg.Logger,
+		id:            uuid.NewString(),
+		now:           time.Now,
+		acquired:      metrics.GetOrRegisterCounter("lease.acquired", cfg.Metrics),
+		renewals:      metrics.GetOrRegisterCounter("lease.renewed", cfg.Metrics),
+		renewFailures: metrics.GetOrRegisterCounter("lease.renew_failed", cfg.Metrics),
+		ended:         metrics.GetOrRegisterCounter("lease.ended", cfg.Metrics),
+		observations:  map[string]observation{},
 	}
 }
 
-// Acquire waits until it holds the lease or ctx is done. The error is ctx's,
-// annotated with the last failure.
+// Acquire waits until it holds the lease or ctx is done. The error is that of
+// ctx, annotated with the last failure.
 func (m *Manager) Acquire(ctx context.Context, name string) (*Lease, error) {
 	for {
 		l, err := m.TryAcquire(ctx, name)
@@ -132,19 +135,20 @@
 	}
 }
 
-// TryAcquire looks at the lease once and takes it if no other term can still
-// run: it was released, or this process has watched it unchanged for a full
-// term. Otherwise ErrHeldByOther; call again later on the same Manager.
+// TryAcquire reads the lease once and acquires it if no other term can be
+// running: the lease was released, or this process has observed it unchanged
+// for a full term. Otherwise it returns ErrHeldByOther; call it again later on
+// the same Manager.
 func (m *Manager) TryAcquire(ctx context.Context, name string) (*Lease, error) {
-	l, err := m.try(ctx, name)
+	l, err := m.tryAcquire(ctx, name)
 	if err != nil {
 		return nil, err
 	}
-	go l.keep()
+	go l.renewLoop()
 	return l, nil
 }
 
-func (m *Manager) try(ctx context.Context, name string) (*Lease, error) {
+func (m *Manager) tryAcquire(ctx context.Context, name string) (*Lease, error) {
 	obj, err := m.cfg.Store.Get(ctx, Kind, name)
 	if errors.Is(err, objectapi.ErrNotFound) {
 		return nil, m.create(ctx, name)
@@ -152,21 +156,21 @@
 	if err != nil {
 		return nil, errors.Annotatef(err, "step read, lease %s", name)
 	}
-	var old record
+	var old leaseRecord
 	if err := json.Unmarshal(obj.Data, &old); err != nil {
 		return nil, errors.Annotatef(err, "step read, lease %s", name)
 	}
-	if !m.free(name, obj.Version, old) {
+	if !m.isFree(name, obj.Version, old) {
 		return nil, errors.Annotatef(ErrHeldByOther, "step acquire, lease %s, peer %s", name, old.Holder)
 	}
-	return m.take(ctx, name, obj.Version)
+	return m.writeTerm(ctx, name, obj.Version)
 }
 
-// create makes an unheld object. It is not taken at once: it may have been
-// deleted under a holder whose term still runs, so whoever wants it watches it
-// for a full term first.
+// create writes an object without a holder. It does not acquire the lease: the
+// object may have been deleted while a holder's term was running, so every
+// contender first observes it for a full term.
 func (m *Manager) create(ctx context.Context, name string) error {
-	value := record{Mark: m.mark(), TermMS: m.cfg.Term.Milliseconds()}
+	value := leaseRecord{Mark: m.nextMark(), TermMS: m.cfg.Term.Milliseconds()}
 	data, err := json.Marshal(value)
 	if err != nil {
 		return errors.Trace(err)
@@ -178,32 +182,32 @@
 	return errors.Annotatef(err, "step create, lease %s", name)
 }
 
-// free reports whether no other term can still run. The observation begins
-// after the read was answered, the holder's term before its write was sent, so
-// the observer always waits longer than the holder believes.
-func (m *Manager) free(name string, version uint64, old record) bool {
+// isFree reports whether no other term can be running. The observation begins
+// after the response of the read and the holder's term before its write was
+// sent, so the observer always waits longer than the holder's term.
+func (m *Manager) isFree(name string, version uint64, old leaseRecord) bool {
 	now := m.now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	o, known := m.seen[name]
+	o, known := m.observations[name]
 	if !known || o.version != version {
-		m.seen[name] = observation{version: version, since: now, fence: max(o.fence, old.Fence)}
+		m.observations[name] = observation{version: version, unchangedSince: now, maxFence: max(o.maxFence, old.Fence)}
 		return old.Released
 	}
 	term := time.Duration(old.TermMS) * time.Millisecond
-	return old.Released || now.Sub(o.since) >= term+term/driftPart
+	return old.Released || now.Sub(o.unchangedSince) >= term+term/driftDivisor
 }
 
-// take writes a new term over an object of a known version. The fence is one
-// more than that version: every fence is at most the version of its own write,
-// versions are store-wide and never repeat, so fences rise even if the object
-// was deleted and made anew.
-func (m *Manager) take(ctx context.Context, name string, version uint64) (*Lease, error) {
-	value := m.value(version + 1)
+// writeTerm writes a new term over an object of a known version. The fence is
+// one more than that version: every fence is at most the version of its own
+// write, versions are store-wide and never repeat, so fences increase even if
+// the object was deleted and recreated.
+func (m *Manager) writeTerm(ctx context.Context, name string, version uint64) (*Lease, error) {
+	value := m.newRecord(version + 1)
 	start := m.now()
-	obj, err := m.update(ctx, name, value, version)
+	obj, err := m.updateRecord(ctx, name, value, version)
 	if errors.Is(err, objectapi.ErrOutcomeUnknown) {
-		obj, err = m.settle(ctx, name, value.Mark)
+		obj, err = m.readBackWrite(ctx, name, value.Mark)
 	}
 	if errors.Is(err, objectapi.ErrConflict) {
 		return nil, errors.Annotatef(ErrHeldByOther, "step acquire, lease %s", name)
@@ -211,33 +215,34 @@
 	if err != nil {
 		return nil, errors.Annotatef(err, "step acquire, lease %s", name)
 	}
-	if m.countFromAnswer {
+	if m.countTermFromResponse {
 		start = m.now()
 	}
 	l := &Lease{
-		m:       m,
-		name:    name,
-		fence:   value.Fence,
-		done:    make(chan struct{}),
-		version: obj.Version,
-		until:   start.Add(m.cfg.Term),
-		sent:    map[string]time.Time{},
+		manager:           m,
+		name:              name,
+		fence:             value.Fence,
+		done:              make(chan struct{}),
+		version:           obj.Version,
+		expiresAt:         start.Add(m.cfg.Term),
+		unconfirmedWrites: map[string]time.Time{},
 	}
 	if !l.Held() {
-		return nil, errors.Annotatef(ErrNotHeld, "step acquire, lease %s: answered after the term", name)
+		return nil, errors.Annotatef(ErrNotHeld, "step acquire, lease %s: response received after the term", name)
 	}
 	m.checkFence(name, value.Fence)
 	m.acquired.Inc(1)
 	return l, nil
 }
 
-// settle reads back whether a write whose answer was lost took effect.
-func (m *Manager) settle(ctx context.Context, name, mark string) (objectapi.Object, error) {
+// readBackWrite reads back whether a write whose response was lost took
+// effect. It returns ErrConflict if the object has another mark.
+func (m *Manager) readBackWrite(ctx context.Context, name, mark string) (objectapi.Object, error) {
 	obj, err := m.cfg.Store.Get(ctx, Kind, name)
 	if err != nil {
 		return obj, errors.Trace(err)
 	}
-	var value record
+	var value leaseRecord
 	if err := json.Unmarshal(obj.Data, &value); err != nil {
 		return obj, errors.Trace(err)
 	}
@@ -249,15 +254,15 @@
 
 func (m *Manager) checkFence(name string, fence uint64) {
 	m.mu.Lock()
-	o := m.seen[name]
-	before := o.fence
-	o.fence = max(o.fence, fence)
-	m.seen[name] = o
+	o := m.observations[name]
+	before := o.maxFence
+	o.maxFence = max(o.maxFence, fence)
+	m.observations[name] = o
 	m.mu.Unlock()
 	fenceRises.Check(fence > before, "lease %s: fence %d after %d", name, fence, before)
 }
 
-func (m *Manager) update(ctx context.Context, name string, value record, version uint64) (objectapi.Object, error) {
+func (m *Manager) updateRecord(ctx context.Context, name string, value leaseRecord, version uint64) (objectapi.Object, error) {
 	data, err := json.Marshal(value)
 	if err != nil {
 		return objectapi.Object{}, errors.Trace(err)
@@ -265,15 +270,16 @@
 	return m.cfg.Store.Update(ctx, Kind, name, data, version)
 }
 
-func (m *Manager) value(fence uint64) record {
-	return record{
+func (m *Manager) newRecord(fence uint64) leaseRecord {
+	return leaseRecord{
 		Holder: m.cfg.Holder,
-		Mark:   m.mark(),
+		Mark:   m.nextMark(),
 		Fence:  fence,
 		TermMS: m.cfg.Term.Milliseconds(),
 	}
 }
 
-func (m *Manager) mark() string {
+// nextMark returns a mark that no other write has.
+func (m *Manager) nextMark() string {
 	return m.id + "/" + strconv.FormatUint(m.writes.Add(1), 36)
 }
--- a/lease/world_test.go
+++ b/lease/world_test.go
@@ -21,14 +21,14 @@
 	testName = "leader"
 )
 
-// TestMain keeps rapid from leaving files of failures behind.
+// TestMain prevents rapid from writing failure files.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.nofailfile", "true")
 	seedtest.Main(m, 20261)
 }
 
-// hookedStore runs a function before and after each call takes effect, where a
-// network would delay the call or its answer.
+// hookedStore calls hook before and after each call takes effect, at the
+// points where a network would delay the request or the response.
 type hookedStore struct {
 	objectapi.Store
 	hook func()
@@ -55,20 +55,21 @@
 	return o, err
 }
 
-// contender is one process. Its clock has its own base: nothing may compare it
-// with another's.
+// contender is one process. Its clock has its own base, so that no code can
+// compare it with the clock of another process.
 type contender struct {
 	m     *Manager
 	lease *Lease
-	busy  bool // in a call, so it can't begin another
+	busy  bool // in a call, so it cannot begin another
 }
 
-// world is true time, the store and some contenders. One action runs at a time,
-// but while a call is on its way others may act and time passes.
-type world struct {
-	draw       func(n int) int
+// simulation holds the true time, the store and some contenders. One action
+// runs at a time, but while a request or response is delayed, other contenders
+// may act and time passes.
+type simulation struct {
+	choose     func(n int) int
 	elapsed    time.Duration
-	memory     *standin.Memory
+	store      *standin.Memory
 	contenders []*contender
 	maxFence   uint64
 	depth      int
@@ -76,20 +77,20 @@
 	err        error
 }
 
-func newWorld(draw func(n int) int, contenders int, mutant bool) *world {
-	w := &world{draw: draw, memory: standin.NewMemory(standin.Config{})}
-	store := &hookedStore{Store: w.memory, hook: w.onTheWay}
+func newSimulation(draw func(n int) int, contenders int, mutant bool) *simulation {
+	w := &simulation{choose: draw, store: standin.NewMemory(standin.Config{})}
+	store := &hookedStore{Store: w.store, hook: w.networkDelay}
 	for i := range contenders {
 		c := &contender{m: NewManager(Config{Store: store, Holder: fmt.Sprint(i), Term: testTerm, Logger: quiet.Logger()})}
 		base := time.Unix(int64(i)*86_400, 0)
 		c.m.now = func() time.Time { return base.Add(w.elapsed) }
-		c.m.countFromAnswer = mutant
+		c.m.countTermFromResponse = mutant
 		w.contenders = append(w.contenders, c)
 	}
 	return w
 }
 
-func (w *world) check() {
+func (w *simulation) check() {
 	held := 0
 	for _, c := range w.contenders {
 		if c.lease != nil && c.lease.Held() {
@@ -101,42 +102,44 @@
 	}
 }
 
-// onTheWay is a call or an answer on its way.
-func (w *world) onTheWay() {
-	if w.draw(3) > 0 {
+// networkDelay simulates the delay of a request or a response.
+func (w *simulation) networkDelay() {
+	if w.choose(3) > 0 {
 		return
 	}
-	w.pass()
+	w.advanceTime()
 	if w.depth < 3 {
-		w.act()
+		w.step()
 	}
 }
 
-// pass lets time pass, sometimes longer than a term: that is a pause.
-func (w *world) pass() {
+// advanceTime advances the time, sometimes by more than a term, which
+// simulates a pause.
+func (w *simulation) advanceTime() {
 	steps := []time.Duration{time.Second, 3 * time.Second, 6 * time.Second, testTerm + testTerm/50, 2 * testTerm}
-	w.elapsed += steps[w.draw(len(steps))]
+	w.elapsed += steps[w.choose(len(steps))]
 	w.check()
 }
 
-func (w *world) act() {
-	c := w.contenders[w.draw(len(w.contenders))]
+// step runs one call of a random contender that is not in a call.
+func (w *simulation) step() {
+	c := w.contenders[w.choose(len(w.contenders))]
 	if c.busy {
 		return
 	}
 	c.busy = true
 	w.depth++
-	w.run(c)
+	w.runCall(c)
 	w.depth--
 	c.busy = false
 	w.check()
 }
 
-func (w *world) run(c *contender) {
+func (w *simulation) runCall(c *contender) {
 	ctx := context.Background()
 	switch {
 	case c.lease == nil || !c.lease.Held():
-		l, err := c.m.try(ctx, testName)
+		l, err := c.m.tryAcquire(ctx, testName)
 		if err != nil {
 			return
 		}
@@ -146,27 +149,27 @@
 			w.err = errors.Errorf("fence %d after %d", l.Fence(), w.maxFence)
 		}
 		w.maxFence = max(w.maxFence, l.Fence())
-	case w.draw(6) == 0:
+	case w.choose(6) == 0:
 		_ = c.lease.Release(ctx)
 	default:
 		_ = c.lease.renew(ctx)
 	}
 }
 
-// fault arms a fault of the store, or ends one; now and then an operator
-// deletes the object.
-func (w *world) fault() {
-	switch w.draw(4) {
+// injectFault sets a fault of the store or clears it, and sometimes deletes
+// the object as an operator would.
+func (w *simulation) injectFault() {
+	switch w.choose(4) {
 	case 0:
-		w.memory.SetFaults(standin.Faults{Down: true})
+		w.store.SetFaults(standin.Faults{Down: true})
 	case 1:
-		w.memory.SetFaults(standin.Faults{LoseNext: 1 + w.draw(2)})
+		w.store.SetFaults(standin.Faults{LoseNext: 1 + w.choose(2)})
 	case 2:
-		o, err := w.memory.Get(context.Background(), Kind, testName)
-		if err == nil && w.draw(4) == 0 {
-			_, _ = w.memory.Delete(context.Background(), Kind, testName, o.Version)
+		o, err := w.store.Get(context.Background(), Kind, testName)
+		if err == nil && w.choose(4) == 0 {
+			_, _ = w.store.Delete(context.Background(), Kind, testName, o.Version)
 		}
 	default:
-		w.memory.SetFaults(standin.Faults{})
+		w.store.SetFaults(standin.Faults{})
 	}
 }
