--- a/declared/batch.go
+++ b/declared/batch.go
@@ -6,25 +6,27 @@
 	"github.com/briarturn/briarturn/objectapi"
 )
 
-// Batch is what one process passes on to another that pulls.
+// Batch is the set of objects that one process sends to another that pulls.
 type Batch struct {
-	// Since is the revision that the batch follows on; 0 with Complete.
+	// Since is the revision that the batch continues from; 0 if Complete.
 	Since uint64
-	// Revision up to which the receiver is complete once it applied the batch.
+	// Revision is the revision through which the receiver is complete after it
+	// has applied the batch.
 	Revision uint64
-	// Complete: the objects are all there are at Revision, not changes.
+	// Complete means that Objects holds every object that exists at Revision,
+	// instead of changes.
 	Complete bool
-	// StoreConfirmed: the store itself told the giver that it is up to date,
-	// within Config.ConfirmWithin.
+	// StoreConfirmed means that the store itself confirmed the sender's state
+	// within the sender's Config.MaxConfirmationAge.
 	StoreConfirmed bool
 	Objects        []objectapi.Object
 }
 
-// Scope narrows what is pulled. A puller keeps to one scope for good: its
-// complete-through revision holds for that scope only.
+// Scope limits what is pulled. A puller must always use the same scope,
+// because its complete-through revision is valid for that scope only.
 type Scope struct {
-	Kinds []string // empty: all
-	Pools []string // empty: all; else only objects that concern one of them
+	Kinds []string // all if empty
+	Pools []string // if not empty, only objects that concern one of these pools
 }
 
 func (sc Scope) hasKind(kind string) bool {
@@ -35,10 +37,11 @@
 	return len(sc.Pools) == 0 || slices.Contains(sc.Pools, pool)
 }
 
-// since returns what a puller that is complete through a revision lacks.
-func (s *State) since(revision uint64, sc Scope) Batch {
+// changesSince returns what a puller that is complete through a revision
+// lacks.
+func (s *State) changesSince(revision uint64, sc Scope) Batch {
 	b := Batch{Since: revision, Revision: s.Revision()}
-	b.Complete = s.Complete() && (revision == 0 || revision < s.dropped)
+	b.Complete = s.Complete() && (revision == 0 || revision < s.droppedThrough)
 	if b.Complete {
 		b.Since = 0
 	}
@@ -47,7 +50,7 @@
 			continue
 		}
 		for _, r := range records {
-			if o, ok := b.pick(kind, r, sc); ok {
+			if o, ok := b.objectFor(kind, r, sc); ok {
 				b.Objects = append(b.Objects, o)
 			}
 		}
@@ -55,26 +58,27 @@
 	return b
 }
 
-// pick returns what the batch says of one object. An object outside the scope
-// goes as a deletion: it may have been inside, and the puller would keep it.
-func (b *Batch) pick(kind string, r *record, sc Scope) (objectapi.Object, bool) {
+// objectFor returns the form of an object in the batch, and whether the batch
+// contains it. An object outside the scope is sent as a deletion: it may have
+// been inside the scope before, and the puller would keep it otherwise.
+func (b *Batch) objectFor(kind string, r *record, sc Scope) (objectapi.Object, bool) {
 	o := r.object(kind)
 	outside := !sc.hasPool(r.pool)
 	if outside {
 		o.Deleted, o.Data = true, nil
 	}
 	if b.Complete {
-		// Up to Revision the absence of an object says that it is gone.
+		// Up to Revision, an object that is absent from the batch is deleted.
 		return o, !o.Deleted || o.Version > b.Revision
 	}
 	return o, o.Version > b.Since
 }
 
-// take applies a batch to the next state.
-func (e *edit) take(b Batch) {
+// applyBatch applies a batch to the next state.
+func (e *edit) applyBatch(b Batch) {
 	if b.Complete {
 		for _, kind := range e.next.kinds {
-			e.replace(kind, ofKind(b.Objects, kind), b.Revision)
+			e.applySnapshot(kind, filterByKind(b.Objects, kind), b.Revision)
 		}
 		return
 	}
@@ -87,11 +91,11 @@
 		return
 	}
 	for _, kind := range e.next.kinds {
-		e.advance(kind, b.Revision)
+		e.advanceThrough(kind, b.Revision)
 	}
 }
 
-func ofKind(objects []objectapi.Object, kind string) []objectapi.Object {
+func filterByKind(objects []objectapi.Object, kind string) []objectapi.Object {
 	var out []objectapi.Object
 	for _, o := range objects {
 		if o.Kind == kind {
--- a/declared/bench_test.go
+++ b/declared/bench_test.go
@@ -9,8 +9,9 @@
 	"github.com/briarturn/briarturn/objectapi"
 )
 
-// fleetObjects is policies for n workspaces and four service levels for each.
-func fleetObjects(n int) []objectapi.Object {
+// sampleObjects returns policies for n workspaces and four service levels for
+// each.
+func sampleObjects(n int) []objectapi.Object {
 	var out []objectapi.Object
 	add := func(kind, name, data string) {
 		out = append(out, objectapi.Object{Kind: kind, Name: name, Version: uint64(len(out) + 1), Data: json.RawMessage(data)})
@@ -33,12 +34,12 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var bytes uint64
 			for b.Loop() {
-				before := heap()
+				before := liveHeapBytes()
 				c := NewCatalog(Config{})
-				objects := fleetObjects(n)
-				listAll(c, uint64(len(objects)), objects...)
+				objects := sampleObjects(n)
+				applySnapshots(c, uint64(len(objects)), objects...)
 				objects = nil
-				bytes = heap() - before
+				bytes = liveHeapBytes() - before
 				runtime.KeepAlive(c)
 			}
 			b.ReportMetric(float64(bytes)/float64(5*n), "B/object")
@@ -46,8 +47,8 @@
 	}
 }
 
-// heap returns the bytes of what is reachable.
-func heap() uint64 {
+// liveHeapBytes returns the bytes of reachable heap objects.
+func liveHeapBytes() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -55,13 +56,14 @@
 	return m.HeapAlloc
 }
 
-// perCount runs a benchmark on a catalog of each size, with what it holds.
-func perCount(b *testing.B, bench func(b *testing.B, c *Catalog, objects []objectapi.Object)) {
+// benchmarkSizes runs a benchmark on a catalog of each size and passes it the
+// objects in the catalog.
+func benchmarkSizes(b *testing.B, bench func(b *testing.B, c *Catalog, objects []objectapi.Object)) {
 	for _, n := range workspaceCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			objects := fleetObjects(n)
+			objects := sampleObjects(n)
 			c := NewCatalog(Config{})
-			listAll(c, uint64(len(objects)), objects...)
+			applySnapshots(c, uint64(len(objects)), objects...)
 			b.ReportAllocs()
 			bench(b, c, objects)
 		})
@@ -69,7 +71,7 @@
 }
 
 func BenchmarkRead(b *testing.B) {
-	perCount(b, func(b *testing.B, c *Catalog, _ []objectapi.Object) {
+	benchmarkSizes(b, func(b *testing.B, c *Catalog, _ []objectapi.Object) {
 		for b.Loop() {
 			if p, _ := c.State().WorkspacePolicy("w-5"); p == nil {
 				b.Fatal("no policy")
@@ -79,18 +81,18 @@
 }
 
 func BenchmarkApplyOne(b *testing.B) {
-	perCount(b, func(b *testing.B, c *Catalog, objects []objectapi.Object) {
+	benchmarkSizes(b, func(b *testing.B, c *Catalog, objects []objectapi.Object) {
 		o := objects[0]
 		o.Version = uint64(len(objects))
 		for b.Loop() {
 			o.Version++
-			hear(c, objectapi.Listing{Revision: o.Version, Objects: []objectapi.Object{o}})
+			applyEvents(c, objectapi.Listing{Revision: o.Version, Objects: []objectapi.Object{o}})
 		}
 	})
 }
 
-func BenchmarkPullNothingNew(b *testing.B) {
-	perCount(b, func(b *testing.B, c *Catalog, objects []objectapi.Object) {
+func BenchmarkPullUnchanged(b *testing.B) {
+	benchmarkSizes(b, func(b *testing.B, c *Catalog, objects []objectapi.Object) {
 		for b.Loop() {
 			c.Since(uint64(len(objects)), Scope{})
 		}
--- a/declared/broken_test.go
+++ b/declared/broken_test.go
@@ -6,21 +6,22 @@
 	"github.com/briarturn/briarturn/invariant/invarianttest"
 )
 
-// Each invariant of the package notices a deliberately broken state.
-func TestBrokenStatesAreNoticed(t *testing.T) {
+// Checks that each invariant of the package detects a deliberately broken
+// state.
+func TestInvariantsDetectBrokenState(t *testing.T) {
 	fresh := func() *edit { return newEdit(NewCatalog(Config{}).State()) }
 	invarianttest.ExpectViolation(t, "declared.never_back", func() {
-		fresh().check(KindModelPool, &record{name: "p", seen: 7, inForce: 7}, &record{name: "p", seen: 6, inForce: 6})
+		fresh().checkRecord(KindModelPool, &record{name: "p", version: 7, inForce: 7}, &record{name: "p", version: 6, inForce: 6})
 	})
 	invarianttest.ExpectViolation(t, "declared.no_revival", func() {
 		e := fresh()
-		e.old.through[KindModelPool] = 9
-		e.check(KindModelPool, nil, &record{name: "p", seen: 8})
+		e.old.completeThrough[KindModelPool] = 9
+		e.checkRecord(KindModelPool, nil, &record{name: "p", version: 8})
 	})
 	invarianttest.ExpectViolation(t, "declared.through_rises", func() {
 		e := fresh()
-		e.old.through[KindModelPool] = 9
-		e.next.through[KindModelPool] = 8
+		e.old.completeThrough[KindModelPool] = 9
+		e.next.completeThrough[KindModelPool] = 8
 		e.finish()
 	})
 }
--- a/declared/edit.go
+++ b/declared/edit.go
@@ -10,42 +10,43 @@
 	"github.com/briarturn/briarturn/objectapi"
 )
 
-// DefaultMaxTombstones holds the deletions of days at the rate of changes that
-// docs/design/0002-declared-state.md reckons with.
+// DefaultMaxTombstones covers the deletions of several days at the rate of
+// changes that docs/design/0002-declared-state.md assumes.
 const DefaultMaxTombstones = 1024
 
 var (
-	neverBack = invariant.New("declared.never_back",
-		"the version of an object that is in force, and of a deletion, only rises")
-	throughRises = invariant.New("declared.through_rises",
-		"the revision up to which a kind is complete only rises")
+	versionsRise = invariant.New("declared.never_back",
+		"the version of an object that is in force, and of a deletion, only increases")
+	completeThroughRises = invariant.New("declared.through_rises",
+		"the revision up to which a kind is complete only increases")
 	noRevival = invariant.New("declared.no_revival",
-		"nothing that is at or under the revision up to which a kind was complete changes it any more")
+		"no object at or below the revision up to which a kind was complete changes it again")
 )
 
-// ApplyResult says what became of objects that a Catalog was given.
+// ApplyResult reports what a Catalog did with the objects it received.
 type ApplyResult struct {
-	Applied int       // newer than what was known
-	Stale   int       // no newer than what was known
-	Refused []Refusal // newer, and bad
-	// Gap: the batch did not follow on what is complete here. Its objects were
-	// taken, the complete-through revision stayed. Pull from Revision().
+	Applied int       // newer than the known version
+	Stale   int       // not newer than the known version
+	Refused []Refusal // newer but invalid
+	// Gap means that the batch starts after the complete-through revision. Its
+	// objects were applied, but the complete-through revision did not change.
+	// Pull from Revision().
 	Gap bool
 }
 
-// edit builds the next state. Its owner holds the Catalog's mutex.
+// edit builds the next state. Its owner holds the mutex of the Catalog.
 type edit struct {
 	old    *State
 	next   *State
-	own    map[string]bool // kinds whose records are no longer shared with old
+	cloned map[string]bool // kinds whose records are no longer shared with old
 	result ApplyResult
 }
 
 func newEdit(old *State) *edit {
-	return &edit{old: old, next: old.clone(), own: map[string]bool{}}
+	return &edit{old: old, next: old.clone(), cloned: map[string]bool{}}
 }
 
-// apply takes one object if it is news.
+// apply applies one object unless it is stale.
 func (e *edit) apply(o objectapi.Object) {
 	if !slices.Contains(e.next.kinds, o.Kind) {
 		return
@@ -56,32 +57,34 @@
 		return
 	}
 	if known == nil && o.Deleted && e.next.tombstones >= 2*e.next.maxTombstones {
-		// Nothing of the object was ever in force here, so forgetting its
-		// deletion takes nothing back. Without the bound, a peer's facts
-		// beyond a gap could fill the memory.
-		e.next.dropped = max(e.next.dropped, o.Version)
+		// The object was never in force here, so dropping its deletion
+		// reverts nothing. Without the limit, deletions that a peer sends
+		// beyond a gap could exhaust memory.
+		e.next.droppedThrough = max(e.next.droppedThrough, o.Version)
 		e.result.Stale++
 		return
 	}
-	e.put(o.Kind, e.newRecord(known, o))
+	e.putRecord(o.Kind, e.newRecord(known, o))
 	e.result.Applied++
 }
 
-// isStale: what the store had at or under the complete-through revision is
-// known, so what is not known of it has been deleted or replaced since. To take
-// it would revive it from a peer that lags, as one notices by a workspace or a
-// server that comes back after its deletion. A tombstone that is held isn't
-// enough: the object may have come and gone again unheard.
+// isStale reports whether the object is not newer than what is known.
+// Everything that the store had at or below the complete-through revision is
+// known, so an object at or below it that is not held has been deleted or
+// replaced since. Applying it would restore it from a lagging peer: a
+// workspace or a server would be in force again after its deletion. Comparing
+// with a tombstone is not enough, because the object may have been recreated
+// and deleted again without this process receiving it.
 func (e *edit) isStale(known *record, o objectapi.Object) bool {
-	if known != nil && o.Version <= known.seen {
+	if known != nil && o.Version <= known.version {
 		return true
 	}
-	through, complete := e.next.through[o.Kind]
+	through, complete := e.next.completeThrough[o.Kind]
 	return complete && o.Version <= through
 }
 
 func (e *edit) newRecord(known *record, o objectapi.Object) *record {
-	r := &record{name: o.Name, seen: o.Version, deleted: o.Deleted}
+	r := &record{name: o.Name, version: o.Version, deleted: o.Deleted}
 	if known != nil {
 		r.pool = known.pool
 	}
@@ -91,7 +94,7 @@
 	r.data = o.Data
 	spec, err := Decode(o.Kind, o.Data)
 	if err == nil {
-		r.spec, r.inForce, r.pool = spec, o.Version, spec.pool(o.Name)
+		r.spec, r.inForce, r.pool = spec, o.Version, spec.poolName(o.Name)
 		return r
 	}
 	r.faults = config.FieldErrorsOf(err)
@@ -105,17 +108,17 @@
 	return r
 }
 
-// put makes r the record of its object.
-func (e *edit) put(kind string, r *record) {
-	if !e.own[kind] {
-		e.own[kind] = true
+// putRecord makes r the record of its object.
+func (e *edit) putRecord(kind string, r *record) {
+	if !e.cloned[kind] {
+		e.cloned[kind] = true
 		e.next.records[kind] = maps.Clone(e.next.records[kind])
 		if e.next.records[kind] == nil {
 			e.next.records[kind] = map[string]*record{}
 		}
 	}
 	known := e.next.records[kind][r.name]
-	e.check(kind, known, r)
+	e.checkRecord(kind, known, r)
 	if known != nil && known.deleted {
 		e.next.tombstones--
 	}
@@ -123,71 +126,73 @@
 		e.next.tombstones++
 	}
 	if known != nil {
-		e.touchPool(known.pool, r.seen) // a set that moved concerns both pools
+		e.raisePoolVersion(known.pool, r.version) // a set that moved concerns both pools
 	}
-	e.touchPool(r.pool, r.seen)
+	e.raisePoolVersion(r.pool, r.version)
 	e.next.records[kind][r.name] = r
 }
 
-func (e *edit) check(kind string, known, r *record) {
+func (e *edit) checkRecord(kind string, known, r *record) {
 	if known != nil {
-		neverBack.Check(r.seen > known.seen && (r.inForce >= known.inForce || r.deleted),
-			"%s/%s from version %d to %d", kind, r.name, known.seen, r.seen)
+		versionsRise.Check(r.version > known.version && (r.inForce >= known.inForce || r.deleted),
+			"%s/%s from version %d to %d", kind, r.name, known.version, r.version)
 	}
-	through, complete := e.old.through[kind]
-	noRevival.Check(!complete || r.seen > through,
-		"%s/%s version %d, complete through %d", kind, r.name, r.seen, through)
+	through, complete := e.old.completeThrough[kind]
+	noRevival.Check(!complete || r.version > through,
+		"%s/%s version %d, complete through %d", kind, r.name, r.version, through)
 }
 
-func (e *edit) touchPool(pool string, version uint64) {
+func (e *edit) raisePoolVersion(pool string, version uint64) {
 	if pool != "" {
-		e.next.pools[pool] = max(e.next.pools[pool], version)
+		e.next.poolVersions[pool] = max(e.next.poolVersions[pool], version)
 	}
 }
 
-// replace takes the complete list of a kind at a revision. What it lacks and
-// what isn't newer was deleted; the revision stands for the unknown version of
-// that deletion. A list no newer than what is complete here says nothing
-// of deletions.
-func (e *edit) replace(kind string, objects []objectapi.Object, revision uint64) {
+// applySnapshot applies the complete list of a kind at a revision. Objects
+// that are not listed and not newer were deleted; the revision is used as the
+// unknown version of that deletion. A list that is not newer than the
+// complete-through revision gives no information about deletions.
+func (e *edit) applySnapshot(kind string, objects []objectapi.Object, revision uint64) {
 	listed := map[string]bool{}
 	for _, o := range objects {
 		listed[o.Name] = true
 		e.apply(o)
 	}
-	if through, ok := e.next.through[kind]; ok && revision <= through {
+	if through, ok := e.next.completeThrough[kind]; ok && revision <= through {
 		return
 	}
 	for name, r := range e.next.records[kind] {
-		if !listed[name] && !r.deleted && r.seen < revision {
-			e.put(kind, e.newRecord(r, objectapi.Object{Kind: kind, Name: name, Version: revision, Deleted: true}))
+		if !listed[name] && !r.deleted && r.version < revision {
+			e.putRecord(kind, e.newRecord(r, objectapi.Object{Kind: kind, Name: name, Version: revision, Deleted: true}))
 			e.result.Applied++
 		}
 	}
-	e.advance(kind, revision)
-	// What came and went unheard before the list left no tombstone here, so a
-	// peer that is complete through less can't be given changes only: it would
-	// keep a deleted object for good.
-	e.next.dropped = max(e.next.dropped, revision)
+	e.advanceThrough(kind, revision)
+	// Objects that were created and deleted before the list without this
+	// process receiving them left no tombstone here. A peer with a lower
+	// complete-through revision therefore needs the complete state: with
+	// changes only, it would keep a deleted object indefinitely.
+	e.next.droppedThrough = max(e.next.droppedThrough, revision)
 }
 
-// advance raises the complete-through revision of a kind.
-func (e *edit) advance(kind string, revision uint64) {
-	through, ok := e.next.through[kind]
+// advanceThrough raises the complete-through revision of a kind.
+func (e *edit) advanceThrough(kind string, revision uint64) {
+	through, ok := e.next.completeThrough[kind]
 	if ok && revision <= through {
 		return
 	}
-	e.next.through[kind] = revision
+	e.next.completeThrough[kind] = revision
 }
 
-// finish drops tombstones beyond Config.MaxTombstones and checks the new state.
+// finish drops tombstones if there are more than Config.MaxTombstones, checks
+// the new state and returns it.
 func (e *edit) finish() *State {
 	if e.next.tombstones > e.next.maxTombstones {
 		e.dropTombstones()
 	}
-	for kind, through := range e.old.through {
-		throughRises.Check(e.next.through[kind] >= through,
-			"%s from %d to %d", kind, through, e.next.through[kind])
+	for kind, through := range e.old.completeThrough {
+		completeThroughRises.Check(e.next.completeThrough[kind] >= through,
+			"%s from %d to %d", kind, through, e.next.completeThrough[kind])
 	}
 	return e.next
 }
@@ -198,34 +203,37 @@
 	pool    string
 }
 
-// dropTombstones drops the oldest half. Only tombstones at or under the
-// complete-through revision may go: there the revision itself keeps the object
-// from coming back.
+// dropTombstones drops the oldest tombstones until half of
+// Config.MaxTombstones remain. Only tombstones at or below the
+// complete-through revision can be dropped, because there the revision itself
+// prevents that the object is restored.
 func (e *edit) dropTombstones() {
-	old := e.droppable()
+	old := e.droppableTombstones()
 	slices.SortFunc(old, func(a, b tombstone) int { return cmp.Compare(a.version, b.version) })
 	excess := min(len(old), e.next.tombstones-e.next.maxTombstones/2)
 	for _, t := range old[:excess] {
-		if !e.own[t.kind] {
-			e.own[t.kind] = true
+		if !e.cloned[t.kind] {
+			e.cloned[t.kind] = true
 			e.next.records[t.kind] = maps.Clone(e.next.records[t.kind])
 		}
 		delete(e.next.records[t.kind], t.name)
 		e.next.tombstones--
-		e.next.dropped = max(e.next.dropped, t.version)
-		if e.next.pools[t.pool] == t.version {
-			delete(e.next.pools, t.pool) // nothing newer concerns the pool
+		e.next.droppedThrough = max(e.next.droppedThrough, t.version)
+		if e.next.poolVersions[t.pool] == t.version {
+			delete(e.next.poolVersions, t.pool) // no newer version concerns the pool
 		}
 	}
 }
 
-func (e *edit) droppable() []tombstone {
+// droppableTombstones returns the tombstones at or below the complete-through
+// revision of their kind.
+func (e *edit) droppableTombstones() []tombstone {
 	var out []tombstone
 	for kind, records := range e.next.records {
-		through, complete := e.next.through[kind]
+		through, complete := e.next.completeThrough[kind]
 		for name, r := range records {
-			if complete && r.deleted && r.seen <= through {
-				out = append(out, tombstone{objectKey{kind, name}, r.seen, r.pool})
+			if complete && r.deleted && r.version <= through {
+				out = append(out, tombstone{objectKey{kind, name}, r.version, r.pool})
 			}
 		}
 	}
@@ -233,5 +241,5 @@
 }
 
 func (e *edit) changed() bool {
-	return e.result.Applied > 0 || e.next.dropped != e.old.dropped || !maps.Equal(e.next.through, e.old.through)
+	return e.result.Applied > 0 || e.next.droppedThrough != e.old.droppedThrough || !maps.Equal(e.next.completeThrough, e.old.completeThrough)
 }
--- a/declared/example_test.go
+++ b/declared/example_test.go
@@ -8,8 +8,8 @@
 	"github.com/briarturn/briarturn/objectapi"
 )
 
-// A process follows the store with a objectapi.Watcher, whose Sink the Catalog
-// is, and gives its state to peers that pull.
+// A process follows the store with an objectapi.Watcher that has the Catalog
+// as its Sink, and sends its state to peers that pull.
 func ExampleCatalog() {
 	entry := declared.NewCatalog(declared.Config{})
 	policy := objectapi.Object{
--- a/declared/exchange_test.go
+++ b/declared/exchange_test.go
@@ -14,39 +14,39 @@
 )
 
 const (
-	goodPolicy = `{"weight":1}`
-	badPolicy  = `{"weight":0}`
-	setFormat  = `{"pool":%q,"zones":["z"],"servers":[{"name":"s","zone":"z","address":"10.0.0.1:1"}]}`
+	validPolicy   = `{"weight":1}`
+	invalidPolicy = `{"weight":0}`
+	setFormat     = `{"pool":%q,"zones":["z"],"servers":[{"name":"s","zone":"z","address":"10.0.0.1:1"}]}`
 )
 
-// fleet is some processes that follow one store and pull from each other.
-// Entries hold everything; agents hold what concerns pool a.
-type fleet struct {
-	store   *standin.Memory
-	history []written // all writes, in order
-	nodes   []*node
-	sent    []Batch // of which any may arrive at any node, at any time, again
+// cluster simulates processes that follow one store and pull from each other.
+// Entries hold all objects; agents hold those that concern pool a.
+type cluster struct {
+	store       *standin.Memory
+	history     []writtenObject // all writes, in order
+	nodes       []*node
+	sentBatches []Batch // each may be delivered to any node, at any time and repeatedly
 }
 
-// written is one write, with what a process should make of it.
-type written struct {
+// writtenObject is one write, with the expected result on a process.
+type writtenObject struct {
 	objectapi.Object
-	good bool
-	pool string
+	valid bool
+	pool  string
 }
 
 type node struct {
-	name    string
-	scope   Scope
-	catalog *Catalog
-	watched map[string]uint64 // by kind that it listed, where its own watch goes on
-	inForce map[objectKey]uint64
+	name           string
+	scope          Scope
+	catalog        *Catalog
+	watchRevisions map[string]uint64 // for each kind that it listed, the revision to watch from
+	inForce        map[objectKey]uint64
 }
 
 var agentScope = Scope{Kinds: []string{KindModelPool, KindBackendServerSet}, Pools: []string{"a"}}
 
-func newFleet() *fleet {
-	f := &fleet{store: standin.NewMemory(standin.Config{History: 6})}
+func newCluster() *cluster {
+	f := &cluster{store: standin.NewMemory(standin.Config{History: 6})}
 	for i := range 5 {
 		n := &node{name: fmt.Sprint("node-", i)}
 		if i >= 3 {
@@ -58,20 +58,20 @@
 	return f
 }
 
-// restart gives the node an empty memory.
+// restart replaces the catalog of the node by an empty one.
 func (n *node) restart() {
 	n.catalog = NewCatalog(Config{Kinds: n.scope.Kinds, MaxTombstones: 2})
-	n.watched = map[string]uint64{}
+	n.watchRevisions = map[string]uint64{}
 	n.inForce = map[objectKey]uint64{}
 }
 
 func (n *node) isAgent() bool { return len(n.scope.Pools) > 0 }
 
 // write changes one object in the store.
-func (f *fleet) write(rt *rapid.T) {
+func (f *cluster) write(rt *rapid.T) {
 	kind := rapid.SampledFrom([]string{KindWorkspacePolicy, KindBackendServerSet}).Draw(rt, "kind")
 	name := rapid.SampledFrom([]string{"x", "y", "z"}).Draw(rt, "name")
-	value := rapid.SampledFrom([]string{goodPolicy, goodPolicy, badPolicy}).Draw(rt, "policy")
+	value := rapid.SampledFrom([]string{validPolicy, validPolicy, invalidPolicy}).Draw(rt, "policy")
 	if kind == KindBackendServerSet {
 		value = fmt.Sprintf(setFormat, rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "pool"))
 	}
@@ -88,29 +88,30 @@
 	if err != nil {
 		rt.Fatal(err)
 	}
-	w := written{Object: o}
+	w := writtenObject{Object: o}
 	if spec, err := Decode(o.Kind, o.Data); err == nil {
-		w.good, w.pool = true, spec.pool(o.Name)
+		w.valid, w.pool = true, spec.poolName(o.Name)
 	}
 	f.history = append(f.history, w)
 }
 
-// follow lets an entry hear the store, as a objectapi.Watcher would.
-func (f *fleet) follow(rt *rapid.T, n *node) {
+// syncFromStore updates an entry from the store, as an objectapi.Watcher
+// would.
+func (f *cluster) syncFromStore(rt *rapid.T, n *node) {
 	for _, kind := range Kinds() {
-		f.followKind(rt, n, kind)
+		f.syncKind(rt, n, kind)
 		if rapid.IntRange(0, 3).Draw(rt, "between kinds") == 0 {
 			f.write(rt)
 		}
 	}
 }
 
-func (f *fleet) followKind(rt *rapid.T, n *node, kind string) {
+func (f *cluster) syncKind(rt *rapid.T, n *node, kind string) {
 	ctx := context.Background()
-	if after, listed := n.watched[kind]; listed {
+	if after, listed := n.watchRevisions[kind]; listed {
 		l, err := f.store.Watch(ctx, kind, after, 0)
 		if err == nil {
-			n.watched[kind] = l.Revision
+			n.watchRevisions[kind] = l.Revision
 			n.catalog.Events(kind, l)
 			return
 		}
@@ -119,32 +120,33 @@
 	if err != nil {
 		rt.Fatal(err)
 	}
-	n.watched[kind] = l.Revision
+	n.watchRevisions[kind] = l.Revision
 	n.catalog.Snapshot(kind, l)
 }
 
-// pull lets a node ask an entry; the answer is kept, to arrive again later.
-func (f *fleet) pull(from, to *node) {
+// pull makes a node pull from an entry. The batch is kept so that it can be
+// delivered again later.
+func (f *cluster) pull(from, to *node) {
 	b := from.catalog.Since(to.catalog.Revision(), to.scope)
 	if !to.isAgent() {
-		f.sent = append(f.sent, b)
+		f.sentBatches = append(f.sentBatches, b)
 	}
 	to.catalog.ApplyBatch(from.name, b)
 }
 
-func (f *fleet) step(rt *rapid.T) {
+func (f *cluster) step(rt *rapid.T) {
 	n := f.nodes[rapid.IntRange(0, len(f.nodes)-1).Draw(rt, "node")]
 	entry := f.nodes[rapid.IntRange(0, 2).Draw(rt, "entry")]
 	switch rapid.IntRange(0, 9).Draw(rt, "step") {
 	case 0, 1, 2:
 		f.write(rt)
 	case 3, 4:
-		f.follow(rt, entry)
+		f.syncFromStore(rt, entry)
 	case 5, 6:
 		f.pull(entry, n)
 	case 7:
-		if len(f.sent) > 0 && !n.isAgent() {
-			n.catalog.ApplyBatch("late", f.sent[rapid.IntRange(0, len(f.sent)-1).Draw(rt, "batch")])
+		if len(f.sentBatches) > 0 && !n.isAgent() {
+			n.catalog.ApplyBatch("late", f.sentBatches[rapid.IntRange(0, len(f.sentBatches)-1).Draw(rt, "batch")])
 		}
 	case 8:
 		if len(f.history) > 0 && !n.isAgent() {
@@ -157,10 +159,11 @@
 	}
 }
 
-// check compares a node with what the store had at the node's revision.
-func (f *fleet) check(rt *rapid.T, n *node) {
+// check compares a node with the content of the store at the revision of the
+// node.
+func (f *cluster) check(rt *rapid.T, n *node) {
 	state := n.catalog.State()
-	truth := map[objectKey]written{}
+	truth := map[objectKey]writtenObject{}
 	for _, o := range f.history {
 		if o.Version <= state.Revision() {
 			truth[objectKey{o.Kind, o.Name}] = o
@@ -169,7 +172,7 @@
 	for _, kind := range state.kinds {
 		for _, name := range []string{"x", "y", "z"} {
 			key := objectKey{kind, name}
-			if !keptOverBad(state, key, truth[key]) {
+			if !keepsOverInvalid(state, key, truth[key]) {
 				n.checkObject(rt, key, truth[key], inForce(state, key))
 			}
 		}
@@ -179,31 +182,31 @@
 	}
 }
 
-// keptOverBad: the node heard only of a later, bad version of the object. It
-// keeps the last good one that it heard of, which may be older than the last
-// good one there was, or one from before a deletion: the object API doesn't
-// tell what was between.
-func keptOverBad(s *State, key objectKey, want written) bool {
+// keepsOverInvalid reports whether the node received only a later, invalid
+// version of the object. It keeps the last valid version that it received,
+// which may be older than the last valid version in the store, or from before
+// a deletion: the object API does not return the versions in between.
+func keepsOverInvalid(s *State, key objectKey, want writtenObject) bool {
 	r := s.records[key.kind][key.name]
-	return r != nil && r.faults != nil && r.seen > want.Version
+	return r != nil && r.faults != nil && r.version > want.Version
 }
 
-func (n *node) checkObject(rt *rapid.T, key objectKey, want written, got uint64) {
+func (n *node) checkObject(rt *rapid.T, key objectKey, want writtenObject, got uint64) {
 	if got > 0 && got < n.inForce[key] {
 		rt.Fatalf("%s: %v went back from version %d to %d", n.name, key, n.inForce[key], got)
 	}
 	n.inForce[key] = max(got, n.inForce[key])
-	outside := want.good && !n.wants(want)
+	outside := want.valid && !n.shouldHold(want)
 	switch {
 	case (want.Deleted || outside) && got > 0 && got <= want.Version:
-		rt.Fatalf("%s: %v is in force at %d, and was gone at %d", n.name, key, got, want.Version)
-	case want.good && !outside && got > 0 && got < want.Version:
-		rt.Fatalf("%s: %v is in force at %d, and the store had %d", n.name, key, got, want.Version)
+		rt.Fatalf("%s: %v is in force at %d, but was deleted at %d", n.name, key, got, want.Version)
+	case want.valid && !outside && got > 0 && got < want.Version:
+		rt.Fatalf("%s: %v is in force at %d, but the store had %d", n.name, key, got, want.Version)
 	}
 }
 
-// wants reports whether the node shall have the object in force.
-func (n *node) wants(w written) bool { return w.good && (!n.isAgent() || w.pool == "a") }
+// shouldHold reports whether the node must have the object in force.
+func (n *node) shouldHold(w writtenObject) bool { return w.valid && (!n.isAgent() || w.pool == "a") }
 
 func inForce(s *State, key objectKey) uint64 {
 	if r := s.records[key.kind][key.name]; r != nil && r.spec != nil {
@@ -212,34 +215,34 @@
 	return 0
 }
 
-// Symptom: a configuration that was replaced or deleted comes back on some
-// processes.
-// Sequence: objects are written, deleted and made anew while processes hear
-// the store or each other late, twice, in any order, with gaps, and restart
-// with an empty memory.
-// Cause: a peer that lags, or a list older than what is known, is believed.
+// Guards against a replaced or deleted configuration that is in force again on
+// some processes. Objects are written, deleted and recreated while processes
+// receive responses of the store and of each other late, twice, out of order
+// and with gaps, and restart empty. A lagging peer or a list older than the
+// known state must not be applied.
 func TestPeersNeverRevert(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		f := newFleet()
+		f := newCluster()
 		for range rapid.IntRange(1, 80).Draw(rt, "steps") {
 			f.step(rt)
 			for _, n := range f.nodes {
 				f.check(rt, n)
 			}
 		}
-		f.heal(rt)
+		f.converge(rt)
 	})
 }
 
-// heal lets all hear the newest and wants all to have the same in force.
-func (f *fleet) heal(rt *rapid.T) {
+// converge updates all nodes to the newest revision and checks that all have
+// the same objects in force.
+func (f *cluster) converge(rt *rapid.T) {
 	for _, n := range f.nodes[:3] {
-		f.follow(rt, n)
+		f.syncFromStore(rt, n)
 	}
 	for f.nodes[0].catalog.Revision() < f.store.Revision() {
-		f.follow(rt, f.nodes[0])
+		f.syncFromStore(rt, f.nodes[0])
 	}
-	live := map[objectKey]written{}
+	live := map[objectKey]writtenObject{}
 	for _, o := range f.history {
 		live[objectKey{o.Kind, o.Name}] = o
 	}
@@ -249,7 +252,7 @@
 		}
 		f.check(rt, n)
 		for key, o := range live {
-			if got := inForce(n.catalog.State(), key); n.wants(o) && got != o.Version {
+			if got := inForce(n.catalog.State(), key); n.shouldHold(o) && got != o.Version {
 				rt.Fatalf("%s: %v is in force at %d, want %d", n.name, key, got, o.Version)
 			}
 		}
--- a/declared/file.go
+++ b/declared/file.go
@@ -12,18 +12,19 @@
 	"github.com/briarturn/briarturn/config"
 )
 
-// maxFileBytes bounds what DecodeAll reads.
+// maxFileBytes is the maximum input size of DecodeManifests. Bytes beyond it
+// are not read.
 const maxFileBytes = 64 << 20
 
-// Manifest is one object in a file, as an operator applies it.
+// Manifest is one object in a file that an operator applies.
 type Manifest struct {
 	Kind string          `json:"kind" validate:"required,oneof=ModelPool WorkspacePolicy BackendServerSet ServiceLevel"`
 	Name string          `json:"name" validate:"required,name"`
 	Spec json.RawMessage `json:"spec" validate:"required"`
 }
 
-// DecodedObject is a manifest with its validated value. Data is the value as the
-// store keeps it.
+// DecodedObject is a manifest with its validated value. Data is the value in
+// the form in which the store keeps it.
 type DecodedObject struct {
 	Kind string
 	Name string
@@ -31,7 +32,7 @@
 	Spec Spec
 }
 
-// DecodeFile reads the objects of a file; see DecodeAll.
+// DecodeFile reads the objects of a file; see DecodeManifests.
 func DecodeFile(path string) ([]DecodedObject, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -42,9 +43,10 @@
 	return objects, errors.Annotatef(err, "step read objects of %s", path)
 }
 
-// DecodeManifests reads JSON values one after the other, each a manifest or a list
-// of manifests, and validates all. The error lists the faults of all objects
-// (config.FieldErrorsOf), each path beginning with the number of the object from 0.
+// DecodeManifests reads consecutive JSON values, each a manifest or a list of
+// manifests, and validates all of them. The error lists the faults of all
+// objects (config.FieldErrorsOf); each path begins with the index of the object,
+// counted from 0.
 func DecodeManifests(r io.Reader) ([]DecodedObject, error) {
 	raws, err := splitManifests(io.LimitReader(r, maxFileBytes))
 	if err != nil {
@@ -77,7 +79,7 @@
 	return out, nil
 }
 
-// splitManifests returns the manifests, undecoded.
+// splitManifests returns the manifests without decoding them.
 func splitManifests(r io.Reader) ([]json.RawMessage, error) {
 	var out []json.RawMessage
 	d := json.NewDecoder(r)
--- a/declared/file_test.go
+++ b/declared/file_test.go
@@ -9,7 +9,7 @@
 	"github.com/briarturn/briarturn/config"
 )
 
-func TestDecodeAllTakesListsAndSingles(t *testing.T) {
+func TestDecodeManifestsAcceptsListsAndSingles(t *testing.T) {
 	const file = `{"kind":"WorkspacePolicy","name":"a","spec":{}}
 		[{"kind":"WorkspacePolicy","name":"b","spec":{"weight":3}},
 		 {"kind":"ServiceLevel","name":"a-short","spec":{"workspace":"a","class":"1k-4k","ttft":"1s","objective":0.99}}]`
@@ -24,16 +24,15 @@
 	if d := cmp.Diff([]string{"WorkspacePolicy/a", "WorkspacePolicy/b", "ServiceLevel/a-short"}, names); d != "" {
 		t.Fatal(d)
 	}
-	if level := got[2].Spec.(*ServiceLevel); len(level.AlertRules) != len(defaultWindows()) {
+	if level := got[2].Spec.(*ServiceLevel); len(level.AlertRules) != len(defaultAlertRules()) {
 		t.Fatalf("windows %v", level.AlertRules)
 	}
 }
 
-// Symptom: an operator applies half of a file, mends one fault, and applies
-// again, many times over.
-// Sequence: several objects with several faults in one file.
-// Cause: a reader that stops at the first.
-func TestDecodeAllReportsTheFaultsOfAllObjects(t *testing.T) {
+// Guards against a decoder that stops at the first fault, so that an operator
+// has to apply a file once for each fault. The file has several objects with
+// several faults.
+func TestDecodeManifestsReportsAllFaults(t *testing.T) {
 	const file = `[
 		{"kind":"WorkspacePolicy","name":"a","spec":{"weight":-1,"tokens_per_second":10}},
 		{"kind":"Workspace","name":"b","spec":{}},
@@ -66,7 +65,7 @@
 	}
 }
 
-func TestDecodeAllOfBrokenFiles(t *testing.T) {
+func TestDecodeManifestsRejectsMalformedFiles(t *testing.T) {
 	for _, file := range []string{`{`, `[{]`, `[1]`, `"text"`, `{"kind":"ModelPool","name":"p"}`} {
 		if got, err := DecodeManifests(strings.NewReader(file)); config.FieldErrorsOf(err) == nil {
 			t.Errorf("%s: %v, error %v", file, got, err)
@@ -74,7 +73,7 @@
 	}
 }
 
-func TestTimeLimitsOfAWorkspaceFitTogether(t *testing.T) {
+func TestWorkspaceTimeoutsAreConsistent(t *testing.T) {
 	for spec, want := range map[string]string{
 		`{"max_timeout":"1m","default_timeout":"2m"}`:                                  "[0].spec.default_timeout",
 		`{"max_timeout":"1m","service_classes":[{"name":"batch","timeout":"61s"}]}`:    "[0].spec.service_classes[0].timeout",
--- a/declared/freshness.go
+++ b/declared/freshness.go
@@ -3,47 +3,50 @@
 import "time"
 
 // DefaultMaxConfirmationAge covers one watch of the store that waits in full
-// (objectapi.DefaultWatchWait), the time limit of its call and the pause before
-// it, 5.5 s together.
+// (objectapi.DefaultWatchWait), the time limit of its call and the pause
+// before it, 5.5 s in total.
 const DefaultMaxConfirmationAge = 8 * time.Second
 
-// maxPeersCounted bounds the peers remembered until the process is ready.
-const maxPeersCounted = 64
+// maxTrackedPeers is the maximum number of peers that are remembered until the
+// process is ready.
+const maxTrackedPeers = 64
 
-// Freshness says how far the state in force can be relied on.
+// Freshness reports how current the state in force is known to be.
 //
-// A process that starts empty while the store is down and hears only a peer
-// that lags can't tell that the peer lags. What holds:
+// A process that starts empty while the store is down and reaches only a
+// lagging peer cannot detect that the peer lags. The guarantees are:
 //
-//   - Within one process nothing goes back: what came into force is replaced by
-//     newer versions only, whatever peers send.
-//   - Ready is false until every kind is known in full from the store itself,
-//     or from a peer that the store had confirmed within ConfirmWithin of its
-//     answer. At that moment the state is no older than ConfirmWithin and the
-//     time that the pull took. So a replaced VM takes no requests under a
-//     configuration older than that.
-//   - A confirmation isn't passed on: a peer that has it from another peer
-//     answers StoreConfirmed false. Else two peers could confirm each other
-//     for ever.
-//   - Ready doesn't lapse. A ready process goes on through an outage with what
-//     it has; Confirmed tells that it no longer hears the store.
+//   - Within one process the state never reverts: an object in force is
+//     replaced by newer versions only, whatever peers send.
+//   - Ready is false until every kind is completely known from the store
+//     itself, or from a peer whose state the store had confirmed within
+//     MaxConfirmationAge of the peer's response. At that moment the state is
+//     not older than MaxConfirmationAge plus the duration of the pull. A
+//     replaced VM therefore accepts no requests with an older configuration.
+//   - A confirmation is not relayed: a peer that has it from another peer
+//     responds with StoreConfirmed false. Otherwise two peers could confirm
+//     each other indefinitely.
+//   - Ready never becomes false again. A ready process continues through an
+//     outage with the state it has; Confirmed reports whether it still
+//     receives responses of the store.
 //
-// What is given up is readiness: in an outage that has lasted ConfirmWithin, a
-// process that starts empty stays unready until the store is back. Operators
-// who would rather have the VM than the freshness set UnconfirmedPeers: the
-// process is then ready once UnconfirmedAfter has passed since its start and
-// that many different peers have each given their complete state, of which the
-// newest is in force. It may then run under an older configuration than other
-// processes do, if the store accepted changes that none of these peers heard
-// of, until it hears of them itself.
+// The limitation is readiness: in an outage that has lasted
+// MaxConfirmationAge, a process that starts empty stays unready until the
+// store is available again. Operators who prefer an available VM to a fresh
+// configuration set UnconfirmedPeers: the process is then ready once
+// UnconfirmedAfter has passed since its start and that many different peers
+// have each sent their complete state. The newest of these states is in force.
+// The process may then run with an older configuration than other processes,
+// if the store accepted changes that none of these peers received, until it
+// receives them itself.
 type Freshness struct {
 	Ready     bool
 	ReadyBy   ReadySource
-	Confirmed bool // the store's last word is within ConfirmWithin
+	Confirmed bool // the store's last response is within MaxConfirmationAge
 	Revision  uint64
 }
 
-// ReadySource says what made a process ready.
+// ReadySource is the source that made a process ready.
 type ReadySource string
 
 // Ways to become ready.
@@ -53,49 +56,50 @@
 	ReadyByUnconfirmedPeers ReadySource = "unconfirmed_peers"
 )
 
-type freshness struct {
-	config  Config
-	started time.Time
-	by      ReadySource          // empty until ready
-	said    map[string]time.Time // by kind, when the store last spoke of it
-	peers   map[string]struct{}  // that gave their complete state
+type freshnessTracker struct {
+	config           Config
+	started          time.Time
+	readyBy          ReadySource          // empty until ready
+	confirmedAt      map[string]time.Time // by kind, time of the store's last response
+	unconfirmedPeers map[string]struct{}  // peers that sent their complete state
 }
 
-func newFreshness(c Config) freshness {
-	return freshness{
-		config:  c,
-		started: c.Now(),
-		said:    map[string]time.Time{},
-		peers:   map[string]struct{}{},
+func newFreshnessTracker(c Config) freshnessTracker {
+	return freshnessTracker{
+		config:           c,
+		started:          c.Now(),
+		confirmedAt:      map[string]time.Time{},
+		unconfirmedPeers: map[string]struct{}{},
 	}
 }
 
-func (f *freshness) storeSaid(now time.Time, kinds ...string) {
+func (f *freshnessTracker) recordStoreResponse(now time.Time, kinds ...string) {
 	for _, kind := range kinds {
-		f.said[kind] = now
+		f.confirmedAt[kind] = now
 	}
-	if f.by == "" && f.storeConfirmed(now) {
-		f.by = ReadyByStore
+	if f.readyBy == "" && f.storeConfirmed(now) {
+		f.readyBy = ReadyByStore
 	}
 }
 
-func (f *freshness) peerSaid(peer string, confirmed bool) {
-	if f.by != "" {
+func (f *freshnessTracker) recordPeerBatch(peer string, confirmed bool) {
+	if f.readyBy != "" {
 		return
 	}
 	if confirmed {
-		f.by = ReadyByPeer
+		f.readyBy = ReadyByPeer
 		return
 	}
-	if len(f.peers) < maxPeersCounted {
-		f.peers[peer] = struct{}{}
+	if len(f.unconfirmedPeers) < maxTrackedPeers {
+		f.unconfirmedPeers[peer] = struct{}{}
 	}
 }
 
-// storeConfirmed reports whether the store spoke of every kind lately.
-func (f *freshness) storeConfirmed(now time.Time) bool {
+// storeConfirmed reports whether the store responded for every kind within
+// MaxConfirmationAge.
+func (f *freshnessTracker) storeConfirmed(now time.Time) bool {
 	for _, kind := range f.config.Kinds {
-		at, ok := f.said[kind]
+		at, ok := f.confirmedAt[kind]
 		if !ok || now.Sub(at) > f.config.MaxConfirmationAge {
 			return false
 		}
@@ -103,23 +107,24 @@
 	return true
 }
 
-// weigh makes the process ready by unconfirmed peers if that is allowed.
-func (f *freshness) weigh(now time.Time) {
+// checkUnconfirmedPeers makes the process ready by unconfirmed peers if the
+// configuration allows it.
+func (f *freshnessTracker) checkUnconfirmedPeers(now time.Time) {
 	allowed := f.config.UnconfirmedPeers > 0 && now.Sub(f.started) >= f.config.UnconfirmedAfter
-	if f.by == "" && allowed && len(f.peers) >= f.config.UnconfirmedPeers {
-		f.by = ReadyByUnconfirmedPeers
+	if f.readyBy == "" && allowed && len(f.unconfirmedPeers) >= f.config.UnconfirmedPeers {
+		f.readyBy = ReadyByUnconfirmedPeers
 	}
 }
 
-// Freshness returns how far the state in force can be relied on now.
+// Freshness reports how current the state in force is known to be now.
 func (c *Catalog) Freshness() Freshness {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.config.Now()
-	c.freshness.weigh(now)
+	c.freshness.checkUnconfirmedPeers(now)
 	return Freshness{
-		Ready:     c.freshness.by != "",
-		ReadyBy:   c.freshness.by,
+		Ready:     c.freshness.readyBy != "",
+		ReadyBy:   c.freshness.readyBy,
 		Confirmed: c.freshness.storeConfirmed(now),
 		Revision:  c.State().Revision(),
 	}
--- a/declared/kinds.go
+++ b/declared/kinds.go
@@ -14,24 +14,26 @@
 	KindServiceLevel     = "ServiceLevel"
 )
 
-// ErrUnknownKind means that the kind is none of Kinds.
+// ErrUnknownKind means that the kind is not one of Kinds.
 const ErrUnknownKind = errors.ConstError("unknown kind of declared object")
 
 // Spec is the value of a declared object: *ModelPool, *WorkspacePolicy,
-// *BackendServerSet or *ServiceLevel. It must not be changed once decoded.
+// *BackendServerSet or *ServiceLevel. It must not be modified after it has
+// been decoded.
 type Spec interface {
-	// pool names the pool or service that the object concerns, "" if none.
-	pool(name string) string
+	// poolName returns the name of the pool or service that the object
+	// concerns, or "" if there is none.
+	poolName(name string) string
 }
 
-// newSpec holds, for each kind, a constructor that sets the defaults.
-var newSpec = map[string]func() Spec{
+// specConstructors maps each kind to a constructor that sets the defaults.
+var specConstructors = map[string]func() Spec{
 	KindModelPool: func() Spec {
 		return &ModelPool{LongPrefillShare: DefaultLongPrefillShare, MaxWeightLoads: DefaultMaxWeightLoads}
 	},
 	KindWorkspacePolicy:  func() Spec { return newWorkspacePolicy() },
 	KindBackendServerSet: func() Spec { return &BackendServerSet{} },
-	KindServiceLevel:     func() Spec { return &ServiceLevel{AlertRules: defaultWindows()} },
+	KindServiceLevel:     func() Spec { return &ServiceLevel{AlertRules: defaultAlertRules()} },
 }
 
 // Kinds returns all kinds of declared objects.
@@ -39,10 +41,10 @@
 	return []string{KindModelPool, KindWorkspacePolicy, KindBackendServerSet, KindServiceLevel}
 }
 
-// Decode reads and validates the value of an object. The error lists all
-// faults by their path (config.FieldErrorsOf), or is ErrUnknownKind.
+// Decode decodes and validates the value of an object. The error is
+// ErrUnknownKind or lists all faults by their path (config.FieldErrorsOf).
 func Decode(kind string, data []byte) (Spec, error) {
-	construct, ok := newSpec[kind]
+	construct, ok := specConstructors[kind]
 	if !ok {
 		return nil, errors.Annotatef(ErrUnknownKind, "%q", kind)
 	}
--- a/declared/sync_test.go
+++ b/declared/sync_test.go
@@ -13,11 +13,11 @@
 	"github.com/briarturn/briarturn/objectapi"
 )
 
-// inForceWithin is the users' bound on the time from acceptance to in force.
+// inForceWithin is the time within which an accepted change must be in force.
 const inForceWithin = 9 * time.Second
 
-// follow runs a watcher of the store into a catalog.
-func follow(store objectapi.Store) (c *Catalog, stop func()) {
+// startWatcher starts a watcher of the store that updates a new catalog.
+func startWatcher(store objectapi.Store) (c *Catalog, stop func()) {
 	c = NewCatalog(Config{})
 	w := objectapi.NewWatcher(objectapi.WatcherConfig{Store: store, Kinds: Kinds(), Sink: c})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -29,19 +29,18 @@
 	return c, func() { cancel(); <-done }
 }
 
-// Symptom: after an outage some processes run on an old configuration for long.
-// Sequence: the store is down for ten minutes; a change is accepted as soon as
-// it is back.
-// Cause: a back-off that grew with the outage.
-func TestInForceSoonAfterAnOutage(t *testing.T) {
+// Guards against processes that run with an old configuration for long after
+// an outage. The store is down for ten minutes and accepts a change as soon as
+// it is available again; the backoff must not grow with the outage.
+func TestChangeInForceSoonAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		store := standin.NewMemory(standin.Config{})
-		o, err := store.Create(ctx, KindWorkspacePolicy, "w", json.RawMessage(goodPolicy))
+		o, err := store.Create(ctx, KindWorkspacePolicy, "w", json.RawMessage(validPolicy))
 		if err != nil {
 			t.Fatal(err)
 		}
-		c, stop := follow(store)
+		c, stop := startWatcher(store)
 		defer stop()
 		time.Sleep(inForceWithin)
 		if f := c.Freshness(); !f.Ready || !f.Confirmed {
@@ -64,10 +63,10 @@
 	})
 }
 
-// Symptom: the VM list shares a watch with the objects, and one of them stops.
-// Sequence: a VM and an object change, in one watch of five kinds.
-// Cause: a catalog that takes another kind's events for a fault or its own.
-func TestOneWatchForAllKinds(t *testing.T) {
+// Checks that catalogs and the VM list can share one watcher of five kinds. A
+// VM and an object change; a catalog must neither fail on events of a kind
+// that it does not hold nor apply them.
+func TestWatcherWithTwoCatalogs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.NewMemory(standin.Config{})
 		first, second := NewCatalog(Config{}), NewCatalog(Config{Kinds: []string{KindModelPool}})
@@ -79,7 +78,7 @@
 		go w.Run(ctx)
 		synctest.Wait()
 		store.SetVM(objectapi.VM{Name: "vm-1", State: objectapi.VMLeaving})
-		if _, err := store.Create(ctx, KindWorkspacePolicy, "w", json.RawMessage(goodPolicy)); err != nil {
+		if _, err := store.Create(ctx, KindWorkspacePolicy, "w", json.RawMessage(validPolicy)); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(inForceWithin)
@@ -87,17 +86,17 @@
 			t.Fatalf("policy %v at revision %d", p, first.Revision())
 		}
 		if p, _ := second.State().WorkspacePolicy("w"); p != nil || second.Revision() != 2 {
-			t.Fatalf("a kind that isn't held: %v at revision %d", p, second.Revision())
+			t.Fatalf("a kind that is not held: %v at revision %d", p, second.Revision())
 		}
 	})
 }
 
-// Symptom: a process counts as confirmed though the store is silent.
-// Sequence: quiet kinds; the watch waits and nothing changes.
-// Cause: a watch that waits longer than what counts as lately.
-func TestQuietStoreKeepsConfirming(t *testing.T) {
+// Guards against a process that loses its confirmation while the store is
+// available and nothing changes. A watch must not wait longer than
+// MaxConfirmationAge.
+func TestIdleStoreKeepsConfirming(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, stop := follow(standin.NewMemory(standin.Config{}))
+		c, stop := startWatcher(standin.NewMemory(standin.Config{}))
 		defer stop()
 		time.Sleep(time.Second)
 		for range 600 {
@@ -109,13 +108,13 @@
 	})
 }
 
-// Symptom: the race detector reports a read beside a write of the state, or a
-// reader sees a version go back.
-// Sequence: many readers and pullers while changes come in.
-// Cause: a state that is changed after it was published.
-func TestReadersBesideWriter(t *testing.T) {
+// Guards against a state that is modified after it was published: the race
+// detector would report a read concurrent with a write, or a reader would
+// observe a lower revision. Many readers and pullers run while changes are
+// applied.
+func TestConcurrentReadersAndWriter(t *testing.T) {
 	c := NewCatalog(Config{MaxTombstones: 2})
-	listAll(c, 0)
+	applySnapshots(c, 0)
 	var readers sync.WaitGroup
 	for range 4 {
 		readers.Go(func() {
@@ -123,7 +122,7 @@
 			for newest < 200 {
 				state := c.State()
 				if state.Revision() < newest {
-					t.Error("the revision went back")
+					t.Error("the revision decreased")
 					return
 				}
 				newest = state.Revision()
@@ -136,11 +135,11 @@
 		})
 	}
 	for v := uint64(1); v <= 200; v++ {
-		o := policy(fmt.Sprint("w-", v%5), v, goodPolicy)
+		o := newPolicy(fmt.Sprint("w-", v%5), v, validPolicy)
 		if v%3 == 0 {
 			o.Deleted, o.Data = true, nil
 		}
-		hear(c, objectapi.Listing{Revision: v, Objects: []objectapi.Object{o}})
+		applyEvents(c, objectapi.Listing{Revision: v, Objects: []objectapi.Object{o}})
 	}
 	readers.Wait()
 }
--- a/declared/tally.go
+++ b/declared/tally.go
@@ -2,16 +2,16 @@
 
 import "github.com/rcrowley/go-metrics"
 
-// tally is the counters of a Catalog. declared.stale counts objects that were
-// no news, most of them doubled deliveries.
-type tally struct {
+// counters are the metrics of a Catalog. declared.stale counts objects that
+// were not newer than the known version, mostly duplicate deliveries.
+type counters struct {
 	applied, stale, refused, gaps, storeBehind metrics.Counter
 	revision                                   metrics.Gauge
 }
 
-func newTally(r metrics.Registry) tally {
+func newCounters(r metrics.Registry) counters {
 	counter := func(name string) metrics.Counter { return metrics.GetOrRegisterCounter("declared."+name, r) }
-	return tally{
+	return counters{
 		applied:     counter("applied"),
 		stale:       counter("stale"),
 		refused:     counter("refused"),
@@ -21,7 +21,7 @@
 	}
 }
 
-func (t tally) count(r ApplyResult) {
+func (t counters) record(r ApplyResult) {
 	t.applied.Inc(int64(r.Applied))
 	t.stale.Inc(int64(r.Stale))
 	t.refused.Inc(int64(len(r.Refused)))
