--- a/objectapi/defaults.go
+++ b/objectapi/defaults.go
@@ -4,15 +4,17 @@
 
 // Defaults of a client of the object API.
 const (
-	// DefaultCallTimeout bounds one try of a call, and what a watch may take
-	// beyond its wait.
+	// DefaultCallTimeout limits one attempt of a call, and the time that a
+	// watch may take beyond its wait.
 	DefaultCallTimeout = 2 * time.Second
-	// DefaultReadTries is how often a read is tried in all.
+	// DefaultReadTries is the maximum number of attempts of a read.
 	DefaultReadTries = 3
-	// DefaultReadsPerSecond and DefaultWritesPerSecond are one process's own
-	// limits. They only keep a process that runs wild from starving the rest.
+	// DefaultReadsPerSecond and DefaultWritesPerSecond are the rate limits of
+	// one process. Their only purpose is to prevent a faulty process from
+	// starving the others.
 	DefaultReadsPerSecond  = 50
 	DefaultWritesPerSecond = 20
-	// DefaultIdleConnections is how many idle connections are kept.
+	// DefaultIdleConnections is the maximum number of idle connections that
+	// are kept.
 	DefaultIdleConnections = 8
 )
--- a/objectapi/main_test.go
+++ b/objectapi/main_test.go
@@ -11,9 +11,9 @@
 
 func TestMain(m *testing.M) { seedtest.Main(m, 1) }
 
-// inBubble runs one property check in virtual time. A failed check is a panic
-// that rapid wants to see in its own goroutine.
-func inBubble(t *testing.T, rt *rapid.T, check func(*rapid.T)) {
+// checkInVirtualTime runs one property check in virtual time. A failed check
+// is a panic that rapid must receive in its own goroutine.
+func checkInVirtualTime(t *testing.T, rt *rapid.T, check func(*rapid.T)) {
 	t.Helper()
 	var caught any
 	synctest.Test(t, func(*testing.T) {
--- a/objectapi/objectapitest/store.go
+++ b/objectapi/objectapitest/store.go
@@ -1,5 +1,5 @@
-// Package platformtest gives a objectapi.Store for the tests of programs that
-// embed declared, lease or claim.
+// Package objectapitest provides an objectapi.Store for the tests of programs
+// that embed declared, lease or claim.
 package objectapitest
 
 import (
@@ -7,6 +7,6 @@
 	"github.com/briarturn/briarturn/objectapi"
 )
 
-// NewStore returns an empty store that lives in memory, has no faults and
-// forgets everything with the process.
+// NewStore returns an empty in-memory store without faults. Its content is
+// lost when the process ends.
 func NewStore() objectapi.Store { return standin.NewMemory(standin.Config{}) }
--- a/objectapi/settle_test.go
+++ b/objectapi/settle_test.go
@@ -15,20 +15,20 @@
 	"github.com/briarturn/briarturn/objectapi"
 )
 
-func carries(mark json.RawMessage) func(objectapi.Object) bool {
+func hasData(mark json.RawMessage) func(objectapi.Object) bool {
 	return func(o objectapi.Object) bool { return bytes.Equal(o.Data, mark) }
 }
 
-// Symptom: a writer gives up what it holds, or two writers both believe that
-// their write is in force.
-// Sequence: answers are lost after the write took effect, calls are cut off in
-// the middle, and another writer gets in between.
-// Cause: an unknown outcome is taken for a refusal or for a success.
-func TestSettleWriteSaysWhatHolds(t *testing.T) {
-	rapid.Check(t, func(rt *rapid.T) { inBubble(t, rt, settleOnceUnderFaults) })
+// Guards against a writer that gives up what it holds, and against two writers
+// that both assume that their write is in force. Responses are lost after the
+// write took effect, calls are interrupted, and another writer writes in
+// between; an unknown outcome must count neither as a rejection nor as a
+// success.
+func TestWriteAndVerifyReportsActualOutcome(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) { checkInVirtualTime(t, rt, writeUnderFaults) })
 }
 
-func settleOnceUnderFaults(rt *rapid.T) {
+func writeUnderFaults(rt *rapid.T) {
 	m := standin.NewMemory(standin.Config{Seed: rapid.Uint64().Draw(rt, "seed")})
 	background := context.Background()
 	w := objectapi.ConditionalWrite{Kind: "K", Name: "a", Data: json.RawMessage(`"mine"`)}
@@ -49,19 +49,20 @@
 	ctx, cancel := context.WithTimeout(background, 2*time.Second)
 	defer cancel()
 
-	o, err := objectapi.WriteAndVerify(ctx, m, w, carries(w.Data))
-	took := inHistory(rt, m, w.Data)
+	o, err := objectapi.WriteAndVerify(ctx, m, w, hasData(w.Data))
+	took := countInHistory(rt, m, w.Data)
 	switch {
 	case err == nil && took == 0:
-		rt.Fatalf("told that %+v is in force, and it never was", o)
+		rt.Fatalf("reported %+v as in force, but it never was", o)
 	case took > 1:
 		rt.Fatalf("the write took effect %d times", took)
 	case objectapi.IsTransient(err) && took > 0:
-		rt.Fatalf("told %v, and the write took effect", err)
+		rt.Fatalf("got error %v, but the write took effect", err)
 	}
 }
 
-// overwrite replaces or makes the object, past the faults of calls.
+// overwrite replaces or creates the object, with the faults of the store
+// disabled.
 func overwrite(m *standin.Memory) {
 	faults := m.Faults()
 	m.SetFaults(standin.Faults{})
@@ -74,7 +75,7 @@
 	_, _ = m.Create(ctx, "K", "a", json.RawMessage(`"rival"`))
 }
 
-func inHistory(rt *rapid.T, m *standin.Memory, mark json.RawMessage) int {
+func countInHistory(rt *rapid.T, m *standin.Memory, mark json.RawMessage) int {
 	m.SetFaults(standin.Faults{})
 	l, err := m.Watch(context.Background(), "K", 0, 0)
 	if err != nil {
@@ -89,11 +90,11 @@
 	return n
 }
 
-func TestSettleWriteOutcomes(t *testing.T) {
+func TestWriteAndVerifyOutcomes(t *testing.T) {
 	cases := []struct {
 		name   string
 		faults standin.Faults
-		rival  bool // gets in after the lost answer
+		rival  bool // whether another writer writes after the lost response
 		want   error
 	}{
 		{"answer lost", standin.Faults{LoseNext: 1}, false, nil},
@@ -111,13 +112,13 @@
 			}
 			mark := json.RawMessage(fmt.Sprintf("%q", c.name))
 			_, err := objectapi.WriteAndVerify(context.Background(), s,
-				objectapi.ConditionalWrite{Kind: "K", Name: "a", Data: mark}, carries(mark))
+				objectapi.ConditionalWrite{Kind: "K", Name: "a", Data: mark}, hasData(mark))
 			wantErr(t, err, c.want)
 		})
 	}
 }
 
-// afterCreate calls then once a create has returned.
+// afterCreate calls then after a create has returned.
 type afterCreate struct {
 	objectapi.Store
 	then func()
@@ -129,29 +130,29 @@
 	return o, err
 }
 
-// Symptom: a writer is told that its write isn't in force, and then it is.
-// Sequence: the first copy of the write hangs on its way; the read back finds
-// nothing; then the copy lands, before the same write is sent again.
-// Cause: while its condition holds, a write that got no answer may yet land.
-func TestSettleWriteMeetsItsOwnLateCopy(t *testing.T) {
-	s := &hangingCreate{Memory: standin.NewMemory(standin.Config{})}
+// Guards against a write that is reported as not in force and then takes
+// effect. The first copy of the write is delayed, the read back finds nothing,
+// and the copy is applied before the same write is sent again: while its
+// condition holds, a write without a response may still take effect.
+func TestWriteAndVerifyHandlesOwnDelayedCopy(t *testing.T) {
+	s := &delayedCreate{Memory: standin.NewMemory(standin.Config{})}
 	mark := json.RawMessage(`"mine"`)
 	_, err := objectapi.WriteAndVerify(context.Background(), s,
-		objectapi.ConditionalWrite{Kind: "K", Name: "a", Data: mark}, carries(mark))
+		objectapi.ConditionalWrite{Kind: "K", Name: "a", Data: mark}, hasData(mark))
 	wantErr(t, err, nil)
 	if n := s.Revision(); n != 1 {
 		t.Fatalf("%d writes took effect, want 1", n)
 	}
 }
 
-// hangingCreate holds the first create back until the next read was answered.
-type hangingCreate struct {
+// delayedCreate delays the first create until the next read has been answered.
+type delayedCreate struct {
 	*standin.Memory
 	held json.RawMessage
 	once bool
 }
 
-func (s *hangingCreate) Create(ctx context.Context, kind, name string, data json.RawMessage) (objectapi.Object, error) {
+func (s *delayedCreate) Create(ctx context.Context, kind, name string, data json.RawMessage) (objectapi.Object, error) {
 	if s.once {
 		return s.Memory.Create(ctx, kind, name, data)
 	}
@@ -160,7 +161,7 @@
 	return objectapi.Object{}, objectapi.ErrOutcomeUnknown
 }
 
-func (s *hangingCreate) Get(ctx context.Context, kind, name string) (objectapi.Object, error) {
+func (s *delayedCreate) Get(ctx context.Context, kind, name string) (objectapi.Object, error) {
 	o, err := s.Memory.Get(ctx, kind, name)
 	if s.held != nil {
 		_, _ = s.Memory.Create(ctx, kind, name, s.held)
--- a/objectapi/sinks.go
+++ b/objectapi/sinks.go
@@ -1,8 +1,8 @@
 package objectapi
 
-// MultiSink is a Sink that passes everything on to each of several, in order, so
-// that one watch serves all that a process follows. Each is told of all kinds
-// and takes what it knows.
+// MultiSink is a Sink that passes each call on to several sinks in order, so
+// that one watch serves all consumers in a process. Each receives all kinds
+// and ignores those it does not use.
 type MultiSink []Sink
 
 var _ Sink = MultiSink(nil)
--- a/objectapi/vm.go
+++ b/objectapi/vm.go
@@ -1,22 +1,23 @@
 package objectapi
 
-// KindVM is the object kind of the platform's VM list. The platform writes
-// it; it lags behind reality.
+// KindVM is the object kind of the platform's VM list. The platform writes the
+// list, which lags behind the actual state.
 const KindVM = "VM"
 
-// VMState is what the platform says of a VM.
+// VMState is the state of a VM as the platform reports it.
 type VMState string
 
-// States of a VM. A VM that is gone has no object.
+// States of a VM. A VM that no longer exists has no object.
 const (
 	VMLive    VMState = "live"
 	VMLeaving VMState = "leaving"
 )
 
-// VM is one entry of the platform's VM list; the object's name is the VM's.
+// VM is one entry of the platform's VM list. The name of the object is the
+// name of the VM.
 type VM struct {
 	Name    string  `json:"name"`
-	Address string  `json:"address,omitempty"` // IP number
+	Address string  `json:"address,omitempty"` // IP address
 	Zone    string  `json:"zone,omitempty"`
 	State   VMState `json:"state"`
 }
--- a/objectapi/watcher.go
+++ b/objectapi/watcher.go
@@ -18,73 +18,80 @@
 
 // Defaults of a WatcherConfig.
 const (
-	// DefaultWatchWait is how long one watch waits for a change. With the call
-	// timeout it bounds how long a connection that went dead without a sign can
-	// hide a change; the platform counts a waiting watch by the second, so
-	// that a longer wait would save nothing.
+	// DefaultWatchWait is how long one watch waits for a change. Together with the call
+	// timeout it limits how long a silently broken connection can hide a change. The
+	// platform bills a waiting watch by the second, so a longer wait would save nothing.
 	DefaultWatchWait = 3 * time.Second
-	// DefaultWatchInterval is the least time between the beginnings of two watches. In
-	// a burst of changes each watch would else answer after one event; at two a second
-	// 430 watchers stay under half of two thousand reads a second.
+	// DefaultWatchInterval is the minimum time between the starts of two watches.
+	// Otherwise, in a burst of changes, each watch would return after one event. At two
+	// watches a second, 430 watchers stay under half of two thousand reads a second.
 	DefaultWatchInterval = 500 * time.Millisecond
-	// DefaultWatchBackoffMax, with its jitter of half, bounds how long a watcher
-	// sleeps on after an outage has ended.
+	// DefaultWatchBackoffMax, with its jitter of half, limits how long a watcher
+	// continues to sleep after an outage has ended.
 	DefaultWatchBackoffMax = 3 * time.Second
 )
 
-// holdPoll is how often a watch that is put off looks whether it still is: a tenth of
-// the second by which a state may then be older.
-const holdPoll = 100 * time.Millisecond
+// suspendPollInterval is the interval at which a suspended watch checks whether it is
+// still suspended. It is a tenth of the one second by which a state may become older
+// through the suspension.
+const suspendPollInterval = 100 * time.Millisecond
 
-// watchBackoffInitial is the first wait after a failure.
+// watchBackoffInitial is the first delay after a failure.
 const watchBackoffInitial = 100 * time.Millisecond
 
-// Sink takes what a Watcher brings, of each kind in order and never two calls at
-// a time. It must not block for long: the watches wait.
+// Sink receives the results of a Watcher, for each kind in order and never in
+// two concurrent calls. It must not block for long, because the watches wait
+// for it.
 type Sink interface {
-	// Snapshot is the whole state of a kind at l.Revision.
+	// Snapshot receives the complete state of a kind at l.Revision.
 	Snapshot(kind string, l Listing)
-	// Events are the changes of a kind up to l.Revision, oldest first. An empty
-	// list confirms that nothing of the kind changed up to then.
+	// Events receives the changes of a kind up to l.Revision, oldest first. An
+	// empty list confirms that nothing of the kind changed up to that
+	// revision.
 	Events(kind string, l Listing)
 }
 
-// WatcherConfig sets up a Watcher. Zero values take the defaults.
+// WatcherConfig configures a Watcher. Zero values select the defaults.
 type WatcherConfig struct {
 	Store Store
 	Kinds []string
 	Sink  Sink
-	// OnUnavailable, if set, is told when the store stops answering for a kind; the next
-	// call of the Sink for the kind says that it answers again.
+	// OnUnavailable, if set, is called when the store stops responding for a kind. The
+	// next call of the Sink for the kind means that it responds again.
 	OnUnavailable func(kind string)
-	// OnCallFailed, if set, is told of each call for a kind that failed.
+	// OnCallFailed, if set, is called for each failed call for a kind.
 	OnCallFailed func(kind string)
-	// CurrentRevision, if set, returns a revision that the sink is known to be at, in another way
-	// than by this Watcher: a watch that was put off goes on from there. From its own last
-	// place it would be told again what the sink has, or that its place is forgotten.
+	// CurrentRevision, if set, returns a revision that the sink has reached by other
+	// means than this Watcher. A watch that was suspended continues from there; from its
+	// own last revision it would receive again what the sink has, or an error that the
+	// revision is no longer in the history.
 	CurrentRevision func(kind string) uint64
-	// Suspended, if set, is asked before each call for a kind: while it is true the call waits,
-	// because the sink is kept current in another way. A list that waited until After has
-	// a revision isn't needed any more. The first watch after that doesn't wait for a
-	// change, so that it soon tells how things are.
+	// Suspended, if set, is called before each call for a kind. While it returns true
+	// the call waits, because the sink is kept current by other means. A list that was
+	// suspended is skipped if CurrentRevision then returns a revision. The first watch
+	// after a suspension does not wait for a change, so that it returns the current
+	// state soon.
 	Suspended func(kind string) bool
 	// Wait is how long a watch waits for a change.
 	Wait time.Duration
-	// EmptyWaitIsCurrent takes a watch that came back without a change, after all of its wait, for
-	// proof of how things were at the end of the wait; else each watch proves only how they
-	// were when it was asked. A watch then waits only until the last proof is Wait old. Not
-	// for what has to hold against an object API that drops a change without a word.
+	// EmptyWaitIsCurrent counts a watch that returned no change after its full wait as
+	// confirmation of the state at the end of the wait; otherwise a watch confirms only
+	// the state at its start. A watch then waits only until the last confirmation is
+	// Wait old. Do not set it for data that must stay correct even if the object API
+	// silently drops a change.
 	EmptyWaitIsCurrent bool
 	Interval           time.Duration
-	// BackoffMax bounds the wait between two tries while the store is away.
+	// BackoffMax limits the delay between two attempts while the store is
+	// unavailable.
 	BackoffMax time.Duration
-	Clock      boottime.Clock // boottime.Now by default
+	Clock      boottime.Clock // boottime.Now if nil
 	Metrics    metrics.Registry
 	Log        logrus.FieldLogger
 }
 
-// Watcher follows some kinds of the object API: it lists each, then watches it
-// from there, resumes after errors, and lists again after a gap.
+// Watcher follows some kinds of the object API: it lists each kind, watches it
+// from the revision of the list, resumes after errors, and lists again after a
+// gap.
 type Watcher struct {
 	config WatcherConfig
 	lists  metrics.Counter
@@ -92,7 +99,7 @@
 	mu     sync.Mutex // held for each call of the sink
 }
 
-// NewWatcher returns a Watcher; Run makes it work.
+// NewWatcher returns a Watcher; call Run to start it.
 func NewWatcher(c WatcherConfig) *Watcher {
 	c.Wait = cmp.Or(max(c.Wait, 0), DefaultWatchWait)
 	c.Interval = cmp.Or(max(c.Interval, 0), DefaultWatchInterval)
@@ -113,28 +120,29 @@
 	}
 }
 
-// Run follows the kinds until ctx ends, each in a goroutine of its own: the
-// object API watches one kind a call. Call it once.
+// Run follows the kinds until ctx ends, each in its own goroutine because a
+// watch of the object API covers one kind. Call it once.
 func (w *Watcher) Run(ctx context.Context) {
 	var group sync.WaitGroup
 	for _, kind := range w.config.Kinds {
-		group.Go(func() { w.follow(ctx, &kindWatch{Watcher: w, kind: kind}) })
+		group.Go(func() { w.watchKind(ctx, &kindWatch{Watcher: w, kind: kind}) })
 	}
 	group.Wait()
 }
 
-// kindWatch is how far the watch of one kind has come. One goroutine owns it.
+// kindWatch is the progress of the watch of one kind. Only one goroutine uses
+// it.
 type kindWatch struct {
 	*Watcher
-	kind    string
-	after   uint64
-	failing bool
-	held    bool       // the last watch was put off
-	reason  CallReason // of the next call
-	proved  boottime.Instant
+	kind         string
+	revision     uint64
+	failing      bool
+	wasSuspended bool       // whether the last watch was suspended
+	reason       CallReason // of the next call
+	currentAsOf  boottime.Instant
 }
 
-func (w *Watcher) follow(ctx context.Context, k *kindWatch) {
+func (w *Watcher) watchKind(ctx context.Context, k *kindWatch) {
 	wait := backoff.NewExponentialBackOff()
 	wait.InitialInterval = watchBackoffInitial
 	wait.MaxInterval = w.config.BackoffMax
@@ -145,7 +153,7 @@
 		err := step(ctx)
 		switch {
 		case err == nil:
-			k.noteState(nil)
+			k.recordResult(nil)
 			wait.Reset()
 			step, k.reason = k.watch, ReasonNextWatch
 			sleep.For(ctx, w.config.Interval-time.Since(begun))
@@ -154,7 +162,7 @@
 			step, k.reason = k.list, ReasonGap
 			sleep.For(ctx, wait.NextBackOff())
 		case ctx.Err() == nil:
-			k.noteState(err)
+			k.recordResult(err)
 			k.reason = ReasonRetry
 			if w.config.OnCallFailed != nil {
 				w.config.OnCallFailed(k.kind)
@@ -165,8 +173,8 @@
 }
 
 func (k *kindWatch) list(ctx context.Context) error {
-	k.hold(ctx)
-	if k.held && k.config.CurrentRevision != nil && k.config.CurrentRevision(k.kind) > 0 {
+	k.waitWhileSuspended(ctx)
+	if k.wasSuspended && k.config.CurrentRevision != nil && k.config.CurrentRevision(k.kind) > 0 {
 		return nil
 	}
 	asked := k.config.Clock()
@@ -176,42 +184,43 @@
 	}
 	k.lists.Inc(1)
 	l.CurrentAsOf = asked
-	k.proved = asked
-	k.after = l.Revision
+	k.currentAsOf = asked
+	k.revision = l.Revision
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.config.Sink.Snapshot(k.kind, l)
 	return nil
 }
 
-// hold waits while the kind is kept current in another way. Where it has waited for a list
-// that turned out not to be needed, the watch behind it counts as put off too.
-func (k *kindWatch) hold(ctx context.Context) {
-	k.held = k.held && k.after == 0
-	for k.config.Suspended != nil && k.config.Suspended(k.kind) && sleep.For(ctx, holdPoll) {
-		k.held = true
+// waitWhileSuspended waits while the kind is kept current by other means. If a list was
+// suspended and then skipped, the next watch counts as suspended too.
+func (k *kindWatch) waitWhileSuspended(ctx context.Context) {
+	k.wasSuspended = k.wasSuspended && k.revision == 0
+	for k.config.Suspended != nil && k.config.Suspended(k.kind) && sleep.For(ctx, suspendPollInterval) {
+		k.wasSuspended = true
 	}
 }
 
-// wait is how long the next watch waits: until the last proof is as old as it may be.
-func (k *kindWatch) wait() time.Duration {
+// watchWait returns how long the next watch waits: with EmptyWaitIsCurrent, until the
+// last confirmation is Wait old.
+func (k *kindWatch) watchWait() time.Duration {
 	if !k.config.EmptyWaitIsCurrent {
 		return k.config.Wait
 	}
-	return max(k.config.Wait-k.config.Clock().Sub(k.proved), 0)
+	return max(k.config.Wait-k.config.Clock().Sub(k.currentAsOf), 0)
 }
 
 func (k *kindWatch) watch(ctx context.Context) error {
-	k.hold(ctx)
-	wait := k.wait()
-	if k.held {
+	k.waitWhileSuspended(ctx)
+	wait := k.watchWait()
+	if k.wasSuspended {
 		wait, k.reason = 0, ReasonResumeWatch
 		if k.config.CurrentRevision != nil {
-			k.after = max(k.after, k.config.CurrentRevision(k.kind))
+			k.revision = max(k.revision, k.config.CurrentRevision(k.kind))
 		}
 	}
 	asked := k.config.Clock()
-	l, err := k.config.Store.Watch(WithReason(ctx, k.reason), k.kind, k.after, wait)
+	l, err := k.config.Store.Watch(WithReason(ctx, k.reason), k.kind, k.revision, wait)
 	if err != nil {
 		return errors.Trace(err)
 	}
@@ -219,16 +228,16 @@
 		asked = asked.Add(wait)
 	}
 	l.CurrentAsOf = asked
-	k.proved = asked
-	k.after = l.Revision
+	k.currentAsOf = asked
+	k.revision = l.Revision
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.config.Sink.Events(k.kind, l)
 	return nil
 }
 
-// noteState logs the first failure of an outage and its end.
-func (k *kindWatch) noteState(err error) {
+// recordResult logs the first failure of an outage and its end.
+func (k *kindWatch) recordResult(err error) {
 	log := k.config.Log.WithField("kind", k.kind)
 	switch {
 	case err != nil && !k.failing:
@@ -237,7 +246,7 @@
 			k.config.OnUnavailable(k.kind)
 		}
 	case err == nil && k.failing:
-		log.WithField("revision", k.after).Info("watch of the object API resumed")
+		log.WithField("revision", k.revision).Info("watch of the object API resumed")
 	}
 	k.failing = err != nil
 }
--- a/objectapi/watcher_test.go
+++ b/objectapi/watcher_test.go
@@ -19,19 +19,20 @@
 	"github.com/briarturn/briarturn/objectapi"
 )
 
-// mirror applies what a Watcher brings and notes events that are out of order.
-type mirror struct {
-	mu      sync.Mutex // guards all below
-	state   map[string]map[string]uint64
-	newest  map[string]uint64  // per kind
-	unsound []objectapi.Object // events that were not newer than what came before
+// mirrorSink applies the results of a Watcher and records events that are out
+// of order.
+type mirrorSink struct {
+	mu         sync.Mutex // guards the fields below
+	state      map[string]map[string]uint64
+	newest     map[string]uint64  // per kind
+	outOfOrder []objectapi.Object // events not newer than those before
 }
 
-func newMirror() *mirror {
-	return &mirror{state: map[string]map[string]uint64{}, newest: map[string]uint64{}}
+func newMirrorSink() *mirrorSink {
+	return &mirrorSink{state: map[string]map[string]uint64{}, newest: map[string]uint64{}}
 }
 
-func (s *mirror) Snapshot(kind string, l objectapi.Listing) {
+func (s *mirrorSink) Snapshot(kind string, l objectapi.Listing) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.newest[kind] = l.Revision
@@ -41,12 +42,12 @@
 	}
 }
 
-func (s *mirror) Events(_ string, l objectapi.Listing) {
+func (s *mirrorSink) Events(_ string, l objectapi.Listing) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, o := range l.Objects {
 		if o.Version <= s.newest[o.Kind] {
-			s.unsound = append(s.unsound, o)
+			s.outOfOrder = append(s.outOfOrder, o)
 		}
 		s.newest[o.Kind] = o.Version
 		if o.Deleted {
@@ -57,7 +58,7 @@
 	}
 }
 
-func (s *mirror) copy() map[string]map[string]uint64 {
+func (s *mirrorSink) copy() map[string]map[string]uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := map[string]map[string]uint64{}
@@ -72,7 +73,7 @@
 
 var watchedKinds = []string{"A", "B"}
 
-func follow(m objectapi.Store, s *mirror) (stop func()) {
+func startWatcher(m objectapi.Store, s *mirrorSink) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	w := objectapi.NewWatcher(objectapi.WatcherConfig{Store: m, Kinds: watchedKinds, Sink: s})
@@ -83,18 +84,17 @@
 	return func() { cancel(); <-done }
 }
 
-// Symptom: a process keeps a state that the store no longer has.
-// Sequence: writes of two kinds while the store goes down, slows, throttles
-// and drops history; then it heals.
-// Cause: a watch that isn't resumed, or a gap that isn't noticed.
+// Guards against a process that keeps a state that the store no longer has.
+// Two kinds are written while the store is down, slow, throttled or loses
+// history, and then recovers; the watch must resume and must detect gaps.
 func TestWatcherConvergesAfterFaults(t *testing.T) {
-	rapid.Check(t, func(rt *rapid.T) { inBubble(t, rt, watchUnderFaults) })
+	rapid.Check(t, func(rt *rapid.T) { checkInVirtualTime(t, rt, watchUnderFaults) })
 }
 
 func watchUnderFaults(rt *rapid.T) {
 	m := standin.NewMemory(standin.Config{History: 4})
-	s := newMirror()
-	stop := follow(m, s)
+	s := newMirrorSink()
+	stop := startWatcher(m, s)
 	defer stop()
 	for range rapid.IntRange(1, 30).Draw(rt, "steps") {
 		switch rapid.IntRange(0, 5).Draw(rt, "step") {
@@ -107,21 +107,21 @@
 		case 3:
 			time.Sleep(time.Duration(rapid.IntRange(1, 5000).Draw(rt, "ms")) * time.Millisecond)
 		default:
-			changeSomething(rt, m)
+			changeRandomObject(rt, m)
 		}
 		time.Sleep(time.Duration(rapid.IntRange(0, 800).Draw(rt, "gap")) * time.Millisecond)
 	}
 	m.SetFaults(standin.Faults{})
 	time.Sleep(30 * time.Second)
-	if d := cmp.Diff(listed(rt, m), s.copy()); d != "" {
+	if d := cmp.Diff(listState(rt, m), s.copy()); d != "" {
 		rt.Fatal(d)
 	}
-	if len(s.unsound) > 0 {
-		rt.Fatalf("events that were not news: %+v", s.unsound)
+	if len(s.outOfOrder) > 0 {
+		rt.Fatalf("events that were not newer: %+v", s.outOfOrder)
 	}
 }
 
-func changeSomething(rt *rapid.T, m *standin.Memory) {
+func changeRandomObject(rt *rapid.T, m *standin.Memory) {
 	faults := m.Faults()
 	m.SetFaults(standin.Faults{})
 	defer m.SetFaults(faults)
@@ -142,7 +142,7 @@
 	}
 }
 
-func listed(rt *rapid.T, m *standin.Memory) map[string]map[string]uint64 {
+func listState(rt *rapid.T, m *standin.Memory) map[string]map[string]uint64 {
 	out := map[string]map[string]uint64{}
 	for _, kind := range watchedKinds {
 		l, err := m.List(context.Background(), kind, "")
@@ -157,15 +157,15 @@
 	return out
 }
 
-// Symptom: a burst of changes turns each watcher into a loop of reads that
-// eats the platform's rate.
-// Sequence: fifty changes, one every 20 ms.
-// Cause: a watch answers after the first event, and the next is sent at once.
-func TestWatcherPacesABurst(t *testing.T) {
+// Guards against a burst of changes that makes each watcher read in a loop and
+// use up the rate limit of the platform. Fifty changes arrive at intervals of
+// 20 ms; a watch returns after the first event, and the next one must not
+// start at once.
+func TestWatcherLimitsRateInBursts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := standin.NewMemory(standin.Config{})
-		s := newMirror()
-		stop := follow(m, s)
+		s := newMirrorSink()
+		stop := startWatcher(m, s)
 		defer stop()
 		synctest.Wait()
 		before := m.Counts().Watch
@@ -184,14 +184,13 @@
 	})
 }
 
-// Symptom: an entry learns of a change late though nobody tells it any more.
-// Sequence: a watch is put off because a peer keeps the kind current; the peer is gone;
-// a change was made meanwhile.
-// Cause: the watch was never taken up again, or waited for one more change first.
-func TestWatchThatIsPutOffGoesOn(t *testing.T) {
+// Guards against an entry that receives a change late when no peer keeps it current. The
+// watch is suspended because a peer keeps the kind current, a change is made, and the
+// peer fails; the watch must resume and must not first wait for another change.
+func TestSuspendedWatchResumes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := standin.NewMemory(standin.Config{})
-		s := newMirror()
+		s := newMirrorSink()
 		var held atomic.Bool
 		held.Store(true)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -209,44 +208,44 @@
 		}
 		time.Sleep(time.Minute)
 		if n := len(s.copy()["A"]); n != 0 {
-			t.Errorf("%d objects came by a watch that was put off", n)
+			t.Errorf("%d objects arrived through a suspended watch", n)
 		}
 		held.Store(false)
 		time.Sleep(time.Second)
 		if n := len(s.copy()["A"]); n != 1 {
-			t.Errorf("%d objects a second after the watch was to go on, want 1", n)
+			t.Errorf("%d objects a second after the watch was resumed, want 1", n)
 		}
 		cancel()
 		<-done
 	})
 }
 
-// ages is a sink that notes how old the proof of what it knows grows.
-type ages struct {
-	clock  boottime.Clock
-	proved boottime.Instant
-	most   time.Duration
+// ageSink is a sink that records the maximum age that its state reaches.
+type ageSink struct {
+	clock       boottime.Clock
+	currentAsOf boottime.Instant
+	maxAge      time.Duration
 }
 
-func (a *ages) Snapshot(_ string, l objectapi.Listing) { a.note(l) }
-func (a *ages) Events(_ string, l objectapi.Listing)   { a.note(l) }
+func (a *ageSink) Snapshot(_ string, l objectapi.Listing) { a.record(l) }
+func (a *ageSink) Events(_ string, l objectapi.Listing)   { a.record(l) }
 
-func (a *ages) note(l objectapi.Listing) {
-	if a.proved > 0 {
-		a.most = max(a.most, a.clock().Sub(a.proved))
+func (a *ageSink) record(l objectapi.Listing) {
+	if a.currentAsOf > 0 {
+		a.maxAge = max(a.maxAge, a.clock().Sub(a.currentAsOf))
 	}
-	a.proved = max(a.proved, l.CurrentAsOf)
+	a.currentAsOf = max(a.currentAsOf, l.CurrentAsOf)
 }
 
-// A watch that waits without a change is taken for proof of the moment at which it was
-// asked only: what is known seems twice as old as it is, and is asked for twice as often.
-func TestQuietWatchProvesTheEndOfItsWait(t *testing.T) {
+// Guards against a watch without a change that counts as current only as of its start:
+// the state would appear twice as old as it is, and would be requested twice as often.
+func TestEmptyWatchIsCurrentAsOfItsEnd(t *testing.T) {
 	const wait = 2 * time.Second
 	for _, every := range []time.Duration{time.Hour, 7 * time.Second, 1900 * time.Millisecond, 300 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			m := standin.NewMemory(standin.Config{})
 			began := time.Now()
-			s := &ages{clock: func() boottime.Instant { return boottime.Instant(time.Hour + time.Since(began)) }}
+			s := &ageSink{clock: func() boottime.Instant { return boottime.Instant(time.Hour + time.Since(began)) }}
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() {
@@ -266,12 +265,12 @@
 			}
 			watches := m.Counts().Watch
 			cancel()
-			<-done // the sink is the watcher's until then
-			if s.most > wait+250*time.Millisecond {
-				t.Errorf("a change each %v: a proof grew %v old", every, s.most)
+			<-done // the watcher uses the sink until then
+			if s.maxAge > wait+250*time.Millisecond {
+				t.Errorf("a change every %v: the state became %v old", every, s.maxAge)
 			}
 			if most := int64(time.Minute/wait) + 2*int64(changes) + 2; watches > most {
-				t.Errorf("a change each %v: %d watches in a minute, want %d at most", every, watches, most)
+				t.Errorf("a change every %v: %d watches in a minute, want %d at most", every, watches, most)
 			}
 		})
 	}
