--- a/wire/check_test.go
+++ b/wire/check_test.go
@@ -8,10 +8,10 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// Symptom: an entry sends its news to an address that nobody has, or in another entry's
-// name. Sequence: a datagram with a broken word of who its sender is arrives. Cause: it
-// is used before it is checked.
-func TestOwnWordOfAnEntryIsChecked(t *testing.T) {
+// Guards against using the peer information of a WorkNews message unchecked. An
+// entry would then send its messages to an invalid address, or accept messages
+// in the name of another entry.
+func TestCheckWorkHello(t *testing.T) {
 	good := func() *wirepb.Peer {
 		return &wirepb.Peer{Name: "vm-1", DatagramAddress: "127.0.0.1:7", RpcAddress: "127.0.0.1:8", Zone: "a", Incarnation: 5}
 	}
@@ -19,12 +19,12 @@
 		change func(*wirepb.Peer)
 		ok     bool
 	}{
-		"as sent":                      {func(*wirepb.Peer) {}, true},
-		"without an address for reads": {func(p *wirepb.Peer) { p.RpcAddress = "" }, true},
+		"valid peer":                   {func(*wirepb.Peer) {}, true},
+		"without an RPC address":       {func(p *wirepb.Peer) { p.RpcAddress = "" }, true},
 		"without a name":               {func(p *wirepb.Peer) { p.Name = "" }, false},
-		"another's incarnation":        {func(p *wirepb.Peer) { p.Incarnation = 6 }, false},
-		"no address":                   {func(p *wirepb.Peer) { p.DatagramAddress = "nowhere" }, false},
-		"no port for reads":            {func(p *wirepb.Peer) { p.RpcAddress = "127.0.0.1" }, false},
+		"incarnation of another entry": {func(p *wirepb.Peer) { p.Incarnation = 6 }, false},
+		"invalid datagram address":     {func(p *wirepb.Peer) { p.DatagramAddress = "nowhere" }, false},
+		"RPC address without a port":   {func(p *wirepb.Peer) { p.RpcAddress = "127.0.0.1" }, false},
 	} {
 		p := good()
 		c.change(p)
--- a/wire/convert.go
+++ b/wire/convert.go
@@ -7,10 +7,11 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// NameKey returns the short name of a backend server or an entry in datagrams.
+// NameKey returns the hash that identifies a backend server or an entry by its
+// name in datagrams.
 func NameKey(name string) uint64 { return xxhash.Sum64String(name) }
 
-// LoadToProto encodes a sample.
+// LoadToProto converts a load sample to its message. Negative counts become 0.
 func LoadToProto(l backend.Load) *wirepb.Load {
 	return &wirepb.Load{
 		Running:        uint32(max(l.Running, 0)),
@@ -26,27 +27,29 @@
 	}
 }
 
-// LoadFromProto decodes a sample. A nil message is an empty sample. Counts beyond the
-// bounds of Check are cut to them, for messages of streams aren't checked.
+// LoadFromProto converts a message to a load sample. A nil message gives an
+// empty sample. Counts are clamped to the bounds of Check, because messages of
+// streams don't pass through Check.
 func LoadFromProto(m *wirepb.Load) backend.Load {
 	return backend.Load{
 		Running:      int32(min(m.GetRunning(), maxRequests)),
 		Waiting:      int32(min(m.GetWaiting(), maxRequests)),
-		PrefillShort: tokens(m.GetPrefillShort()),
-		PrefillLong:  tokens(m.GetPrefillLong()),
-		Used:         tokens(m.GetUsedTokens()),
-		Held:         tokens(m.GetHeldTokens()),
-		Capacity:     tokens(m.GetCapacityTokens()),
+		PrefillShort: clampTokens(m.GetPrefillShort()),
+		PrefillLong:  clampTokens(m.GetPrefillLong()),
+		Used:         clampTokens(m.GetUsedTokens()),
+		Held:         clampTokens(m.GetHeldTokens()),
+		Capacity:     clampTokens(m.GetCapacityTokens()),
 		Draining:     m.GetDraining(),
 		Sequence:     m.GetSequence(),
 		Incarnation:  m.GetIncarnation(),
 	}
 }
 
-// tokens cuts a count to its bound.
-func tokens(n uint64) int64 { return int64(min(n, maxTokens)) }
+// clampTokens limits a token count to maxTokens.
+func clampTokens(n uint64) int64 { return int64(min(n, maxTokens)) }
 
-// DescriptorToProto encodes a descriptor of one incarnation of its agent.
+// DescriptorToProto converts a descriptor to the message of one incarnation of
+// its agent. Negative rates and token counts become 0.
 func DescriptorToProto(d backend.Descriptor, incarnation uint64) *wirepb.Descriptor {
 	return &wirepb.Descriptor{
 		Name:            d.Name,
@@ -64,12 +67,12 @@
 		DecodeRate:      uint64(max(d.DecodeRate, 0)),
 		MemoryTokens:    uint64(max(d.MemoryTokens, 0)),
 		Incarnation:     incarnation,
-		Weights:         weightsMessages(d.Weights),
+		Weights:         weightsToProto(d.Weights),
 		Loading:         d.Loading,
 	}
 }
 
-func weightsMessages(list []backend.Weights) []*wirepb.Weights {
+func weightsToProto(list []backend.Weights) []*wirepb.Weights {
 	var out []*wirepb.Weights
 	for _, w := range list {
 		out = append(out, &wirepb.Weights{Name: w.Name, Version: w.Version, Adapter: w.Adapter})
@@ -77,7 +80,7 @@
 	return out
 }
 
-func weightsOf(list []*wirepb.Weights) []backend.Weights {
+func weightsFromProto(list []*wirepb.Weights) []backend.Weights {
 	var out []backend.Weights
 	for _, w := range list {
 		out = append(out, backend.Weights{Name: w.GetName(), Version: w.GetVersion(), Adapter: w.GetAdapter()})
@@ -85,7 +88,8 @@
 	return out
 }
 
-// DescriptorFromProto decodes a descriptor.
+// DescriptorFromProto converts a message to a descriptor. Rates and token counts
+// are clamped to maxTokens.
 func DescriptorFromProto(m *wirepb.Descriptor) backend.Descriptor {
 	return backend.Descriptor{
 		Name:            m.GetName(),
@@ -99,10 +103,10 @@
 		Models:          m.GetModels(),
 		Adapters:        m.GetAdapters(),
 		Role:            backend.Role(m.GetRole()),
-		PrefillRate:     tokens(m.GetPrefillRate()),
-		DecodeRate:      tokens(m.GetDecodeRate()),
-		MemoryTokens:    tokens(m.GetMemoryTokens()),
-		Weights:         weightsOf(m.GetWeights()),
+		PrefillRate:     clampTokens(m.GetPrefillRate()),
+		DecodeRate:      clampTokens(m.GetDecodeRate()),
+		MemoryTokens:    clampTokens(m.GetMemoryTokens()),
+		Weights:         weightsFromProto(m.GetWeights()),
 		Loading:         m.GetLoading(),
 	}
 }
--- a/wire/datagrams_port_test.go
+++ b/wire/datagrams_port_test.go
@@ -4,16 +4,14 @@
 	"testing"
 )
 
-// Symptom: a process hears nothing of what others send it, though all are well; an
-// agent keeps the configuration of its start for ever.
-// Sequence: two processes bind datagram sockets to the same port, by their settings or
-// because the kernel chose it for both.
-// Cause: the sockets share ports, for which the kernel deals what comes in out among
-// them and gives no error. The evidence: of 600 sockets on ports of the kernel's choice
-// four were on one that another had, in the mean of three tries; and in eight of 320
-// fleets with 58 sockets one agent stayed without any configuration, knew its homes and
-// logged no error.
-func TestPortOfDatagramsIsNotShared(t *testing.T) {
+// Guards against two processes that bind datagram sockets to the same port, by their
+// settings or because the kernel chose it for both. With port sharing the kernel
+// distributes the datagrams between the sockets without an error, so that a process
+// may receive none and an agent never updates its configuration. Of 600 sockets on
+// ports chosen by the kernel, four shared a port with another (mean of three tries). In
+// eight of 320 fleets with 58 sockets, one agent had no configuration, although it had
+// its home entries and logged no error.
+func TestDatagramPortIsNotShared(t *testing.T) {
 	first, err := ListenDatagrams(DatagramConfig{Address: "127.0.0.1:0"})
 	if err != nil {
 		t.Fatal(err)
@@ -22,6 +20,6 @@
 	second, err := ListenDatagrams(DatagramConfig{Address: first.Addr().String()})
 	if err == nil {
 		second.Close()
-		t.Errorf("two sockets are bound to %v", first.Addr())
+		t.Errorf("a second socket was bound to %v", first.Addr())
 	}
 }
--- a/wire/datagrams_test.go
+++ b/wire/datagrams_test.go
@@ -15,8 +15,8 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// samples returns one valid datagram of each kind.
-func samples() map[string]*wirepb.Datagram {
+// sampleDatagrams returns one valid datagram of each kind except WorkNews.
+func sampleDatagrams() map[string]*wirepb.Datagram {
 	load := &wirepb.Load{Running: 3, PrefillShort: 4096, UsedTokens: 90_000, CapacityTokens: 400_000, Sequence: 9}
 	d := &wirepb.Descriptor{
 		Name: "briar-3", RpcAddress: "10.0.0.3:7000", DatagramAddress: "10.0.0.3:7001",
@@ -38,23 +38,24 @@
 	}
 }
 
-type received struct {
+type receivedDatagram struct {
 	from netip.AddrPort
 	m    *wirepb.Datagram
 }
 
-// ownAddress is a loopback IP that nothing else listens on: on 127.0.0.1 a port
-// that was just given up by another test may still be sent to.
-const ownAddress = "127.0.1.77:0"
+// listenAddress has a loopback IP that nothing else listens on: on 127.0.0.1,
+// datagrams may still arrive for a port that another test has just closed.
+const listenAddress = "127.0.1.77:0"
 
-// listen returns an endpoint on loopback and what it receives.
-func listen(t testing.TB, reg metrics.Registry) (*Datagrams, chan received) {
+// listen returns an endpoint on loopback and a channel of the datagrams that it
+// receives.
+func listen(t testing.TB, reg metrics.Registry) (*Datagrams, chan receivedDatagram) {
 	t.Helper()
-	got := make(chan received, 64)
+	got := make(chan receivedDatagram, 64)
 	d, err := ListenDatagrams(DatagramConfig{
-		Address: ownAddress,
+		Address: listenAddress,
 		Metrics: reg,
-		Handler: func(from netip.AddrPort, m *wirepb.Datagram) { got <- received{from, m} },
+		Handler: func(from netip.AddrPort, m *wirepb.Datagram) { got <- receivedDatagram{from, m} },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -72,7 +73,7 @@
 	a, _ := listen(t, reg)
 	b, got := listen(t, metrics.NewRegistry())
 	want, sent := int64(0), 0
-	for name, m := range samples() {
+	for name, m := range sampleDatagrams() {
 		if err := a.Send(b.Addr(), m); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
@@ -87,16 +88,14 @@
 		}
 	}
 	if n := metrics.GetOrRegisterCounter("wire.datagrams.bytes_out", reg).Count(); n != want {
-		t.Errorf("%d bytes counted for %d datagrams, want %d", n, sent, want)
+		t.Errorf("bytes_out is %d after %d datagrams, want %d", n, sent, want)
 	}
 }
 
-// Symptom: a process panics, or shows a server with absurd load, after garbage
-// reached its port.
-// Sequence: noise, an oversize and an out-of-bounds datagram arrive, then a
-// good one.
-// Cause: fields are used before they are checked.
-func TestGarbageIsCountedAndDropped(t *testing.T) {
+// Guards against the use of fields before they are checked: an undecodable, an
+// oversize or an out-of-bounds datagram would make the process panic or show a
+// server with an impossible load. A valid datagram after them must arrive.
+func TestInvalidDatagramsAreCountedAndDropped(t *testing.T) {
 	reg := metrics.NewRegistry()
 	d, got := listen(t, reg)
 	conn, err := net.Dial("udp", d.Addr().String())
@@ -104,13 +103,13 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	bad := samples()["report"]
+	bad := sampleDatagrams()["report"]
 	bad.GetReport().Incarnation = 0
 	outOfBounds, err := proto.Marshal(bad)
 	if err != nil {
 		t.Fatal(err)
 	}
-	good, err := proto.Marshal(samples()["report"])
+	good, err := proto.Marshal(sampleDatagrams()["report"])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,36 +119,36 @@
 		}
 	}
 	if r := <-got; r.m.GetReport().GetIncarnation() != 5 {
-		t.Errorf("got %v", r.m)
+		t.Errorf("received %v, want the valid report", r.m)
 	}
 	for _, name := range []string{"undecodable", "oversize", "out_of_bounds"} {
 		if n := metrics.GetOrRegisterCounter("wire.datagrams."+name, reg).Count(); n != 1 {
-			t.Errorf("%s counted %d times, want 1", name, n)
+			t.Errorf("counter %s is %d, want 1", name, n)
 		}
 	}
 }
 
-func TestSendRefusesOversize(t *testing.T) {
+func TestSendRejectsOversizeDatagram(t *testing.T) {
 	d, _ := listen(t, nil)
-	m := samples()["digest"]
+	m := sampleDatagrams()["digest"]
 	for i := range maxEvidence - 1 {
-		e := &wirepb.Evidence{Fingerprint: uint64(i + 1), Death: 1 << 63, TtlMs: maxTTLMillis, Deaths: 1, Quarantined: true}
+		e := &wirepb.Evidence{Fingerprint: uint64(i + 1), Death: 1 << 63, TtlMs: maxEvidenceTTLMillis, Deaths: 1, Quarantined: true}
 		m.GetDigest().Evidence = append(m.GetDigest().Evidence, e)
 	}
 	if err := d.Send(d.Addr(), m); !errors.Is(err, ErrOversize) {
-		t.Fatalf("got %v for %d bytes", err, proto.Size(m))
+		t.Fatalf("got error %v for %d bytes, want ErrOversize", err, proto.Size(m))
 	}
 }
 
-func TestCheckBounds(t *testing.T) {
-	for name, m := range samples() {
+func TestCheckRejectsOutOfBoundsFields(t *testing.T) {
+	for name, m := range sampleDatagrams() {
 		if err := Check(m); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	cases := []struct {
 		kind, field string
-		breakIt     func(*wirepb.Datagram)
+		corrupt     func(*wirepb.Datagram)
 	}{
 		{"hello", "hello.descriptor", func(m *wirepb.Datagram) { m.GetHello().Descriptor_ = nil }},
 		{"hello", "descriptor.name", func(m *wirepb.Datagram) { m.GetHello().Descriptor_.Name = strings.Repeat("x", 65) }},
@@ -170,22 +169,24 @@
 		{"describe", "describe.key", func(m *wirepb.Datagram) { m.GetDescribe().Key = 0 }},
 	}
 	for _, c := range cases {
-		m := samples()[c.kind]
-		c.breakIt(m)
+		m := sampleDatagrams()[c.kind]
+		c.corrupt(m)
 		err := Check(m)
 		if !errors.Is(err, ErrOutOfBounds) || !strings.Contains(err.Error(), "field "+c.field+":") {
-			t.Errorf("%s: got %v", c.field, err)
+			t.Errorf("%s: got error %v, want ErrOutOfBounds with the field", c.field, err)
 		}
 	}
 	if err := Check(&wirepb.Datagram{}); !errors.Is(err, ErrUndecodable) {
-		t.Errorf("empty datagram: got %v", err)
+		t.Errorf("empty datagram: got error %v, want ErrUndecodable", err)
 	}
 }
 
-// FuzzDecode: what Decode accepts is within bounds, encodes again and is
-// accepted again. The corpus in testdata has one datagram of each kind.
+// FuzzDecode checks that Decode returns only its documented errors, and that a
+// datagram that it accepts passes Check again and encodes to at most twice
+// MaxDatagramBytes. The corpus in testdata has one datagram of each kind except
+// WorkNews.
 func FuzzDecode(f *testing.F) {
-	for _, m := range samples() {
+	for _, m := range sampleDatagrams() {
 		buf, err := proto.Marshal(m)
 		if err != nil {
 			f.Fatal(err)
@@ -197,7 +198,7 @@
 		if err != nil {
 			known := errors.Is(err, ErrUndecodable) || errors.Is(err, ErrOutOfBounds) || errors.Is(err, ErrOversize)
 			if !known {
-				t.Fatalf("error of unknown type: %v", err)
+				t.Fatalf("undocumented error: %v", err)
 			}
 			return
 		}
@@ -206,14 +207,14 @@
 			t.Fatal(err)
 		}
 		if err := Check(m); err != nil || len(again) > 2*MaxDatagramBytes {
-			t.Fatalf("accepted, then %v (%d bytes)", err, len(again))
+			t.Fatalf("accepted datagram: Check returned %v, encoded to %d bytes", err, len(again))
 		}
 	})
 }
 
-// BenchmarkCloseDatagrams is how long an endpoint takes to open and close: a
-// process that ends has that much less of its grace. 0.13 ms; 501 ms when Close
-// waited for gnet's poll of its own state.
+// BenchmarkCloseDatagrams measures how long it takes to open and close an
+// endpoint. Closing is part of the grace period of a process that shuts down.
+// Result: 0.13 ms, and 501 ms when Close waited for gnet to poll its own state.
 func BenchmarkCloseDatagrams(b *testing.B) {
 	for b.Loop() {
 		d, err := ListenDatagrams(DatagramConfig{Address: "127.0.0.1:0", Handler: func(netip.AddrPort, *wirepb.Datagram) {}})
--- a/wire/evidence.go
+++ b/wire/evidence.go
@@ -7,7 +7,8 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// EvidenceToProto encodes a record of a quarantine.
+// EvidenceToProto converts a quarantine record to its message. A negative TTL
+// becomes 0.
 func EvidenceToProto(r quarantine.Record) *wirepb.Evidence {
 	return &wirepb.Evidence{
 		Fingerprint: r.Fingerprint,
@@ -18,9 +19,10 @@
 	}
 }
 
-// MergeEvidence enters evidence in a book and returns what was news.
-func MergeEvidence(book *quarantine.Tracker, list []*wirepb.Evidence, now time.Time) []*wirepb.Evidence {
-	var news []*wirepb.Evidence
+// MergeEvidence merges evidence into a tracker and returns the items that are
+// new to it, which should be passed on.
+func MergeEvidence(tracker *quarantine.Tracker, list []*wirepb.Evidence, now time.Time) []*wirepb.Evidence {
+	var merged []*wirepb.Evidence
 	for _, e := range list {
 		r := quarantine.Record{
 			Fingerprint: e.GetFingerprint(),
@@ -29,9 +31,9 @@
 			Quarantined: e.GetQuarantined(),
 			TTL:         time.Duration(e.GetTtlMs()) * time.Millisecond,
 		}
-		if book.Merge(r, now) {
-			news = append(news, e)
+		if tracker.Merge(r, now) {
+			merged = append(merged, e)
 		}
 	}
-	return news
+	return merged
 }
--- a/wire/helpers_test.go
+++ b/wire/helpers_test.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// counter counts and can wait until it stops rising.
-type counter struct{ n atomic.Int64 }
+// stableCounter is a counter that can wait until its value stops increasing.
+type stableCounter struct{ n atomic.Int64 }
 
-func (c *counter) add(n int64) { c.n.Add(n) }
+func (c *stableCounter) add(n int64) { c.n.Add(n) }
 
-// settle returns the count once it hasn't risen for a while. A slow machine
-// can only make it return an earlier count, never fail.
-func (c *counter) settle() int64 {
-	const quiet = 200 * time.Millisecond
+// waitStable returns the count once it is positive and hasn't changed for one
+// interval. A slow machine can only make it return an earlier count; it never
+// fails.
+func (c *stableCounter) waitStable() int64 {
+	const interval = 200 * time.Millisecond
 	last := c.n.Load()
 	for {
-		time.Sleep(quiet)
+		time.Sleep(interval)
 		now := c.n.Load()
 		if now == last && now > 0 {
 			return now
--- a/wire/options.go
+++ b/wire/options.go
@@ -14,9 +14,10 @@
 	"github.com/briarturn/briarturn/internal/quiet"
 )
 
-// MaxMessageBytes is the largest message that either side of a stream accepts.
-// A body part is at most 256 KiB; a configuration object at most 1 MiB, and
-// its holder splits what is longer over several answers.
+// MaxMessageBytes is the size of the largest message that either side of a
+// stream accepts. A body part is at most 256 KiB and an object of the object
+// API at most 1 MiB. PullConfig and PullStates don't split their responses, so
+// all objects of a response must fit into one message.
 const MaxMessageBytes = 1<<20 + 64<<10
 
 // Defaults of Options.
@@ -25,40 +26,43 @@
 	defaultPoolExpiry      = 60 * time.Second
 	defaultPoolCapacity    = 4096
 	defaultPoolPerAddress  = 64
-	defaultIdleTimeout     = 90 * time.Second // longer than the pool's expiry
+	defaultIdleTimeout     = 90 * time.Second // longer than defaultPoolExpiry
 	defaultSoftCancelGrace = 20 * time.Millisecond
 )
 
-// Buffers of a connection. A chunk is under 1 KiB, so that large buffers would
-// only cost memory at thousands of open streams.
+// Buffer sizes of a connection. A chunk is smaller than 1 KiB, so larger buffers
+// would only cost memory with thousands of open streams.
 const (
-	writerBufferBytes = 1 << 10
-	keepBufferBytes   = 4 << 10 // larger stream buffers are dropped after use
+	writeBufferBytes       = 1 << 10
+	maxRetainedBufferBytes = 4 << 10 // larger stream buffers are freed after use
 )
 
 // Options configures Server and Dialer. The zero value is usable.
 type Options struct {
-	Log     logrus.FieldLogger // nil: silent
-	Metrics metrics.Registry   // nil: a registry of its own
+	Log     logrus.FieldLogger // nil: no logging
+	Metrics metrics.Registry   // nil: a private registry
 
-	// ConnectTimeout bounds connecting (Dialer). Default 2 s.
+	// ConnectTimeout is the time limit for connecting (Dialer). Default 2 s.
 	ConnectTimeout time.Duration
-	// PoolCapacity and PoolPerAddress bound the idle connections that are kept
-	// (Dialer). Open streams aren't limited by them. Default 4096 and 64.
+	// PoolCapacity and PoolPerAddress limit the idle connections that are kept,
+	// in total and per address (Dialer). They don't limit open streams.
+	// Defaults 4096 and 64.
 	PoolCapacity   int
 	PoolPerAddress int
-	// PoolExpiry closes a connection that was idle for that long (Dialer).
-	// Keep it under the peers' IdleTimeout, else a stream may be begun on a
-	// connection that the peer is closing. Default 60 s.
+	// PoolExpiry is the time after which an idle connection is closed
+	// (Dialer). It must be shorter than the IdleTimeout of the peers;
+	// otherwise a stream may start on a connection that the peer is closing.
+	// Default 60 s.
 	PoolExpiry time.Duration
-	// IdleTimeout closes a connection without a stream (Server). Default 90 s.
+	// IdleTimeout is the time after which a connection without a stream is
+	// closed (Server). Default 90 s.
 	IdleTimeout time.Duration
-	// SoftCancelGrace bounds how long a cancel waits for a send in progress
-	// before it closes the connection instead. Default 20 ms.
+	// SoftCancelGrace is the time that a cancel waits for a send in progress
+	// before it closes the connection. Default 20 ms.
 	SoftCancelGrace time.Duration
 }
 
-// withDefaults fills in what was left zero.
+// withDefaults returns a copy with zero fields replaced by their defaults.
 func (o Options) withDefaults() Options {
 	if o.Log == nil {
 		o.Log = quiet.Logger()
@@ -75,21 +79,22 @@
 	return o
 }
 
-// manager returns the drpc options that both ends share.
-func (o Options) manager() drpcmanager.Options {
+// managerOptions returns the drpc options that Server and Dialer have in common.
+func (o Options) managerOptions() drpcmanager.Options {
 	return drpcmanager.Options{
-		WriterBufferSize: writerBufferBytes,
+		WriterBufferSize: writeBufferBytes,
 		Reader:           drpcwire.ReaderOptions{MaximumBufferSize: MaxMessageBytes},
-		Stream:           drpcstream.Options{MaximumBufferSize: keepBufferBytes},
+		Stream:           drpcstream.Options{MaximumBufferSize: maxRetainedBufferBytes},
 		SoftCancel:       true,
 		SoftCancelGrace:  o.SoftCancelGrace,
 	}
 }
 
-// keepAlive finds a peer whose machine vanished without closing its
-// connections: a run would otherwise stay held for TCP's own two minutes. It
-// is noticed as a stream error within about 11 s.
-func keepAlive() net.KeepAliveConfig {
+// keepAliveConfig returns the TCP keep-alive settings that detect a peer whose
+// machine disappeared without closing its connections. The streams of such a
+// peer fail within about 11 s; without these settings a run would be held for
+// TCP's own timeout of two minutes.
+func keepAliveConfig() net.KeepAliveConfig {
 	return net.KeepAliveConfig{
 		Enable:   true,
 		Idle:     5 * time.Second,
--- a/wire/server.go
+++ b/wire/server.go
@@ -17,43 +17,44 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// acceptRetryDelay is the pause after a failed accept. Without it a process
-// that has run out of file descriptors would spin.
+// acceptRetryDelay is the delay after a failed accept. Without it, a process
+// that has no file descriptors left would retry in a busy loop.
 const acceptRetryDelay = 50 * time.Millisecond
 
-// Services are what a Server offers. Either may be nil.
+// Services are the services of a Server. Either may be nil.
 type Services struct {
 	Agent wirepb.DRPCAgentServer
 	Entry wirepb.DRPCEntryServer
 }
 
-// Server serves drpc connections and can stop without cutting off a stream.
+// Server serves drpc connections. Shutdown stops it without interrupting
+// streams.
 type Server struct {
 	opts Options
 	mux  *drpcmux.Mux
 	drpc *drpcserver.Server
 
-	connections metrics.Counter // open now
-	streams     metrics.Counter // open now
+	openConns   metrics.Counter // connections open now
+	openStreams metrics.Counter // streams open now
 	accepted    metrics.Counter
-	malformed   metrics.Counter // connections ended for bytes that are not drpc
+	malformed   metrics.Counter // connections closed because of a drpc protocol error
 
 	mu       sync.Mutex // guards the fields below
 	conns    map[*serverConn]struct{}
 	listener net.Listener
 	stopping bool
-	empty    chan struct{} // closed when stopping and conns is empty
+	drained  chan struct{} // closed when stopping and conns is empty
 }
 
-// serverConn is one accepted connection. Its mutex is taken after Server.mu.
+// serverConn is an accepted connection. Lock order: Server.mu before its mu.
 type serverConn struct {
 	net.Conn
-	mu     sync.Mutex // guards the fields below
-	active int        // streams being handled: 0 or 1
-	ending bool       // close when the active stream ends
+	mu            sync.Mutex // guards the fields below
+	activeStreams int        // streams being handled, 0 or 1
+	draining      bool       // close the connection when no stream is active
 }
 
-// NewServer returns a server of the services.
+// NewServer returns a Server of the given services.
 func NewServer(services Services, opts Options) (*Server, error) {
 	opts = opts.withDefaults()
 	mux := drpcmux.New()
@@ -70,21 +71,22 @@
 	s := &Server{
 		opts:        opts,
 		mux:         mux,
-		connections: metrics.GetOrRegisterCounter("wire.server.connections", opts.Metrics),
-		streams:     metrics.GetOrRegisterCounter("wire.server.streams", opts.Metrics),
+		openConns:   metrics.GetOrRegisterCounter("wire.server.connections", opts.Metrics),
+		openStreams: metrics.GetOrRegisterCounter("wire.server.streams", opts.Metrics),
 		accepted:    metrics.GetOrRegisterCounter("wire.server.accepted", opts.Metrics),
 		malformed:   metrics.GetOrRegisterCounter("wire.server.malformed", opts.Metrics),
 		conns:       map[*serverConn]struct{}{},
-		empty:       make(chan struct{}),
+		drained:     make(chan struct{}),
 	}
-	manager := opts.manager()
+	manager := opts.managerOptions()
 	manager.InactivityTimeout = opts.IdleTimeout
 	s.drpc = drpcserver.NewWithOptions(s, drpcserver.Options{Manager: manager})
 	return s, nil
 }
 
-// Serve serves the listener until ctx ends, which cuts off every stream, or
-// until Shutdown has let them end. It closes the listener.
+// Serve accepts and serves connections until ctx is canceled, which aborts all
+// streams, or until Shutdown was called and the streams have ended. It closes the
+// listener.
 func Serve(ctx context.Context, lis net.Listener, services Services, opts Options) error {
 	s, err := NewServer(services, opts)
 	if err != nil {
@@ -93,9 +95,9 @@
 	return s.Serve(ctx, lis)
 }
 
-// Serve is as the function Serve. Call it once.
+// Serve does the same as the function Serve. It must be called only once.
 func (s *Server) Serve(ctx context.Context, lis net.Listener) error {
-	if !s.begin(lis) {
+	if !s.setListener(lis) {
 		lis.Close()
 		return errors.Annotatef(ErrClosed, "step serve, listener %s", lis.Addr())
 	}
@@ -104,17 +106,18 @@
 	stop := context.AfterFunc(ctx, func() { lis.Close() })
 	defer stop()
 
-	var running sync.WaitGroup
-	err := s.acceptAll(ctx, lis, &running)
+	var conns sync.WaitGroup
+	err := s.acceptLoop(ctx, lis, &conns)
 	if err != nil {
 		cancel()
 	}
-	running.Wait()
+	conns.Wait()
 	return err
 }
 
-// begin notes the listener for Shutdown. It fails after Shutdown.
-func (s *Server) begin(lis net.Listener) bool {
+// setListener stores the listener for Shutdown. It returns false if Shutdown was
+// already called.
+func (s *Server) setListener(lis net.Listener) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stopping {
@@ -124,13 +127,14 @@
 	return true
 }
 
-// acceptAll accepts connections until the listener is closed on purpose.
-func (s *Server) acceptAll(ctx context.Context, lis net.Listener, running *sync.WaitGroup) error {
+// acceptLoop accepts connections until ctx is canceled or Shutdown is called. It
+// returns an error if the listener was closed for another reason.
+func (s *Server) acceptLoop(ctx context.Context, lis net.Listener, conns *sync.WaitGroup) error {
 	for {
 		conn, err := lis.Accept()
 		if err == nil {
 			s.accepted.Inc(1)
-			running.Go(func() { s.serveConn(ctx, conn) })
+			conns.Go(func() { s.serveConn(ctx, conn) })
 			continue
 		}
 		if ctx.Err() != nil || s.isStopping() {
@@ -154,17 +158,17 @@
 	return s.stopping
 }
 
-// serveConn handles the streams of one connection, one after the other.
+// serveConn handles the streams of one connection sequentially.
 func (s *Server) serveConn(ctx context.Context, raw net.Conn) {
 	if tcp, ok := raw.(*net.TCPConn); ok {
-		_ = tcp.SetKeepAliveConfig(keepAlive())
+		_ = tcp.SetKeepAliveConfig(keepAliveConfig())
 	}
 	conn := &serverConn{Conn: raw}
-	if !s.add(conn) {
+	if !s.addConn(conn) {
 		raw.Close()
 		return
 	}
-	defer s.remove(conn)
+	defer s.removeConn(conn)
 	ctx = drpcctx.WithTransport(ctx, conn)
 	if err := s.drpc.ServeOne(ctx, conn); err != nil {
 		if drpc.ProtocolError.Has(err) {
@@ -175,48 +179,48 @@
 	}
 }
 
-func (s *Server) add(conn *serverConn) bool {
+func (s *Server) addConn(conn *serverConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stopping {
 		return false
 	}
 	s.conns[conn] = struct{}{}
-	s.connections.Inc(1)
+	s.openConns.Inc(1)
 	return true
 }
 
-func (s *Server) remove(conn *serverConn) {
+func (s *Server) removeConn(conn *serverConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, conn)
-	s.connections.Dec(1)
+	s.openConns.Dec(1)
 	if s.stopping && len(s.conns) == 0 {
-		close(s.empty)
+		close(s.drained)
 	}
 }
 
-// HandleRPC implements drpc.Handler. It ends the stream itself, so that the
-// connection can be closed behind the last byte of the answer when the server
-// is stopping; drpc's own end of the stream then finds it ended.
+// HandleRPC implements drpc.Handler. It ends the stream itself, so that a
+// stopping server can close the connection after the last byte of the response.
+// When drpc then ends the stream, it is already ended.
 func (s *Server) HandleRPC(stream drpc.Stream, rpc string) error {
-	s.streams.Inc(1)
-	defer s.streams.Dec(1)
-	conn, _ := s.connOf(stream)
+	s.openStreams.Inc(1)
+	defer s.openStreams.Dec(1)
+	conn, _ := s.connOfStream(stream)
 	if conn == nil {
 		return s.mux.HandleRPC(stream, rpc)
 	}
-	if !conn.begin() {
+	if !conn.beginStream() {
 		return errors.Annotatef(ErrClosed, "step begin stream, peer %s", conn.RemoteAddr())
 	}
 	err := s.mux.HandleRPC(stream, rpc)
-	err = endStream(stream, err)
-	conn.end()
+	err = finishStream(stream, err)
+	conn.endStream()
 	return err
 }
 
-// connOf finds the connection that a stream runs on.
-func (s *Server) connOf(stream drpc.Stream) (*serverConn, bool) {
+// connOfStream returns the connection of a stream.
+func (s *Server) connOfStream(stream drpc.Stream) (*serverConn, bool) {
 	tr, ok := drpcctx.Transport(stream.Context())
 	if !ok {
 		return nil, false
@@ -225,8 +229,9 @@
 	return conn, ok
 }
 
-// endStream sends the handler's error, or the end of the answer.
-func endStream(stream drpc.Stream, err error) error {
+// finishStream sends the handler's error, or the end of the response if err is
+// nil.
+func finishStream(stream drpc.Stream, err error) error {
 	if err == nil {
 		return stream.CloseSend()
 	}
@@ -236,48 +241,50 @@
 	return err
 }
 
-// begin counts a stream in. It fails once the connection was closed for being idle: a
-// call that had been read by then would run, and its answer go nowhere.
-func (c *serverConn) begin() bool {
+// beginStream counts an active stream. It returns false if Shutdown has closed
+// the connection as idle: a call that had already been read would otherwise run,
+// although its response can't be delivered.
+func (c *serverConn) beginStream() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ending && c.active == 0 {
+	if c.draining && c.activeStreams == 0 {
 		return false
 	}
-	c.active++
+	c.activeStreams++
 	return true
 }
 
-func (c *serverConn) end() {
+func (c *serverConn) endStream() {
 	c.mu.Lock()
-	c.active--
-	closing := c.ending
+	c.activeStreams--
+	closing := c.draining
 	c.mu.Unlock()
 	if closing {
 		c.Conn.Close()
 	}
 }
 
-// finish closes the connection now if it is idle, else when its stream ends.
-func (c *serverConn) finish() {
+// drain closes the connection immediately if it is idle, and otherwise when its
+// stream ends.
+func (c *serverConn) drain() {
 	c.mu.Lock()
-	c.ending = true
-	idle := c.active == 0
+	c.draining = true
+	idle := c.activeStreams == 0
 	c.mu.Unlock()
 	if idle {
 		c.Conn.Close()
 	}
 }
 
-// Shutdown stops accepting, closes idle connections and waits until the running
-// streams have ended or ctx ends. It doesn't cut them off: end the context of
-// Serve for that.
+// Shutdown stops accepting connections, closes idle ones and waits until the
+// open streams have ended or ctx is done. It doesn't abort streams; cancel the
+// context of Serve to do so.
 func (s *Server) Shutdown(ctx context.Context) error {
 	for _, conn := range s.stopAccepting() {
-		conn.finish()
+		conn.drain()
 	}
 	select {
-	case <-s.empty:
+	case <-s.drained:
 		return nil
 	case <-ctx.Done():
 		return errors.Annotate(ctx.Err(), "step drain streams")
@@ -294,7 +301,7 @@
 			s.listener.Close()
 		}
 		if len(s.conns) == 0 {
-			close(s.empty)
+			close(s.drained)
 		}
 	}
 	conns := make([]*serverConn, 0, len(s.conns))
--- a/wire/shutdown_test.go
+++ b/wire/shutdown_test.go
@@ -10,35 +10,35 @@
 	"storj.io/drpc/drpcctx"
 )
 
-// readCall is a stream of a call that was read from a connection and isn't handled
-// yet; whatever handles it finds no messages.
-type readCall struct {
+// pendingCall is the stream of a call that was read from a connection but isn't
+// handled yet. Only Context is implemented.
+type pendingCall struct {
 	drpc.Stream
 	ctx context.Context
 }
 
 // Context implements drpc.Stream.
-func (c readCall) Context() context.Context { return c.ctx }
+func (c pendingCall) Context() context.Context { return c.ctx }
 
-// Guards against a call that runs although its connection was closed as idle: it had
-// been read, and wasn't counted yet when Shutdown looked.
-func TestShutdownRunsNoCallOfAClosedConnection(t *testing.T) {
+// Guards against a call that runs although Shutdown closed its connection as idle: the
+// call had been read, but wasn't yet counted as an active stream.
+func TestPendingCallIsRejectedAfterShutdown(t *testing.T) {
 	server, err := NewServer(Services{}, Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	here, peer := net.Pipe()
+	local, peer := net.Pipe()
 	defer peer.Close()
-	conn := &serverConn{Conn: here}
-	server.add(conn)
-	defer server.remove(conn)
-	short, cancel := context.WithCancel(t.Context())
+	conn := &serverConn{Conn: local}
+	server.addConn(conn)
+	defer server.removeConn(conn)
+	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
-	if err := server.Shutdown(short); err == nil {
-		t.Fatal("shutdown returned with a connection left")
+	if err := server.Shutdown(canceled); err == nil {
+		t.Fatal("Shutdown returned nil while a connection was open")
 	}
-	call := readCall{ctx: drpcctx.WithTransport(t.Context(), conn)}
+	call := pendingCall{ctx: drpcctx.WithTransport(t.Context(), conn)}
 	if err := server.HandleRPC(call, "/no/call"); !errors.Is(err, ErrClosed) {
-		t.Errorf("the call was handled: %v", err)
+		t.Errorf("HandleRPC returned %v, want ErrClosed", err)
 	}
 }
--- a/wire/stream_bench_test.go
+++ b/wire/stream_bench_test.go
@@ -18,15 +18,16 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// tenChunks answers a run at once; idle holds it open until it is cancelled.
-func tenChunks(s wirepb.DRPCAgent_RunStream) error {
+// sendTenChunks responds to a run with ten chunks and an End.
+func sendTenChunks(s wirepb.DRPCAgent_RunStream) error {
 	if _, err := s.Recv(); err != nil {
 		return err
 	}
-	return chunks(s, 10, 64)
+	return sendChunks(s, 10, 64)
 }
 
-func idle(s wirepb.DRPCAgent_RunStream) error {
+// holdOpen admits a run and keeps it open until it is cancelled.
+func holdOpen(s wirepb.DRPCAgent_RunStream) error {
 	if _, err := s.Recv(); err != nil {
 		return err
 	}
@@ -38,8 +39,9 @@
 	return err
 }
 
-// inUse returns the heap and stacks in use after a collection.
-func inUse() uint64 {
+// memoryInUse returns the bytes of heap and stacks in use after a garbage
+// collection.
+func memoryInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -47,11 +49,11 @@
 	return m.HeapInuse + m.StackInuse
 }
 
-// openIdle opens n streams and waits until each is admitted.
-func openIdle(b *testing.B, run runFunc, n int) context.CancelFunc {
+// openIdleStreams opens n streams and waits until each is admitted.
+func openIdleStreams(b *testing.B, run openRunFunc, n int) context.CancelFunc {
 	ctx, cancel := context.WithCancel(context.Background())
 	for range n {
-		s := begin(b, ctx, run, "idle")
+		s := openRun(b, ctx, run, "idle")
 		if _, err := s.Recv(); err != nil {
 			b.Fatal(err)
 		}
@@ -59,47 +61,49 @@
 	return cancel
 }
 
-// BenchmarkIdleStreams prints memory and goroutines of one open stream, both
-// ends in this process, with our buffer options and with drpc's own.
+// BenchmarkIdleStreams reports the memory and goroutines of one open stream, with
+// both ends in this process, for the buffer options of this package and for
+// drpc's defaults.
 func BenchmarkIdleStreams(b *testing.B) {
 	for _, n := range []int{100, 1000, 2000} {
-		b.Run(fmt.Sprintf("ours/streams=%d", n), func(b *testing.B) {
-			_, addr := serveAgent(b, &fakeAgent{run: idle}, Options{})
+		b.Run(fmt.Sprintf("wire/streams=%d", n), func(b *testing.B) {
+			_, addr := serveAgent(b, &fakeAgent{run: holdOpen}, Options{})
 			d := newDialer(b, Options{})
-			measureIdle(b, n, dialing(d, addr))
+			measureIdleStreams(b, n, dialRun(d, addr))
 		})
 		b.Run(fmt.Sprintf("defaults/streams=%d", n), func(b *testing.B) {
-			addr := servePlain(b, idle)
-			measureIdle(b, n, func(ctx context.Context) (wirepb.DRPCAgent_RunClient, error) {
-				return dialPlain(ctx, addr, drpcmanager.Options{})
+			addr := serveDefaults(b, holdOpen)
+			measureIdleStreams(b, n, func(ctx context.Context) (wirepb.DRPCAgent_RunClient, error) {
+				return dialDefaults(ctx, addr, drpcmanager.Options{})
 			})
 		})
 	}
 }
 
-func measureIdle(b *testing.B, n int, run runFunc) {
+func measureIdleStreams(b *testing.B, n int, run openRunFunc) {
 	for range b.N {
-		before, goroutines := inUse(), runtime.NumGoroutine()
-		cancel := openIdle(b, run, n)
-		b.ReportMetric(float64(inUse()-before)/float64(n), "B/stream")
+		before, goroutines := memoryInUse(), runtime.NumGoroutine()
+		cancel := openIdleStreams(b, run, n)
+		b.ReportMetric(float64(memoryInUse()-before)/float64(n), "B/stream")
 		b.ReportMetric(float64(runtime.NumGoroutine()-goroutines)/float64(n), "goroutines/stream")
 		cancel()
 	}
 }
 
-// servePlain serves with drpc's defaults.
-func servePlain(b *testing.B, run func(wirepb.DRPCAgent_RunStream) error) string {
+// serveDefaults starts a server with drpc's default options and returns its
+// address.
+func serveDefaults(b *testing.B, run func(wirepb.DRPCAgent_RunStream) error) string {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	b.Cleanup(cancel)
-	go plainServer(b, run).Serve(ctx, lis)
+	go newDefaultServer(b, run).Serve(ctx, lis)
 	return lis.Addr().String()
 }
 
-func plainServer(b *testing.B, run func(wirepb.DRPCAgent_RunStream) error) *drpcserver.Server {
+func newDefaultServer(b *testing.B, run func(wirepb.DRPCAgent_RunStream) error) *drpcserver.Server {
 	mux := drpcmux.New()
 	if err := wirepb.DRPCRegisterAgent(mux, &fakeAgent{run: run}); err != nil {
 		b.Fatal(err)
@@ -107,8 +111,8 @@
 	return drpcserver.New(mux)
 }
 
-// dialPlain opens a stream on a connection of its own.
-func dialPlain(ctx context.Context, addr string, opts drpcmanager.Options) (wirepb.DRPCAgent_RunClient, error) {
+// dialDefaults opens a stream on a new connection, without Dialer.
+func dialDefaults(ctx context.Context, addr string, opts drpcmanager.Options) (wirepb.DRPCAgent_RunClient, error) {
 	raw, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
@@ -117,37 +121,37 @@
 	return wirepb.NewDRPCAgentClient(conn).Run(ctx)
 }
 
-// BenchmarkTenChunks is one run of ten small chunks on a kept connection.
+// BenchmarkTenChunks measures one run of ten small chunks on a pooled connection.
 func BenchmarkTenChunks(b *testing.B) {
-	_, addr := serveAgent(b, &fakeAgent{run: tenChunks}, Options{})
+	_, addr := serveAgent(b, &fakeAgent{run: sendTenChunks}, Options{})
 	d := newDialer(b, Options{})
 	b.ReportAllocs()
 	for b.Loop() {
-		runOnce(b, d, addr, 10)
+		completeRun(b, d, addr, 10)
 	}
 }
 
-// BenchmarkCancel is a run that is cancelled after its first message, and the
-// next run on the same address: with soft cancel it finds the connection, with
-// closing it dials.
+// BenchmarkCancel measures a run that is cancelled after its first message and is
+// followed by a run to the same address. With soft cancel the next run reuses the
+// connection; without it the connection is closed and the next run dials.
 func BenchmarkCancel(b *testing.B) {
 	b.Run("soft", func(b *testing.B) {
-		_, addr := serveAgent(b, &fakeAgent{run: idle}, Options{})
+		_, addr := serveAgent(b, &fakeAgent{run: holdOpen}, Options{})
 		d := newDialer(b, Options{})
-		benchmarkCancel(b, dialing(d, addr))
+		benchmarkCancel(b, dialRun(d, addr))
 	})
 	b.Run("close", func(b *testing.B) {
-		addr := servePlain(b, idle)
+		addr := serveDefaults(b, holdOpen)
 		benchmarkCancel(b, func(ctx context.Context) (wirepb.DRPCAgent_RunClient, error) {
-			return dialPlain(ctx, addr, drpcmanager.Options{})
+			return dialDefaults(ctx, addr, drpcmanager.Options{})
 		})
 	})
 }
 
-func benchmarkCancel(b *testing.B, run runFunc) {
+func benchmarkCancel(b *testing.B, run openRunFunc) {
 	for b.Loop() {
 		ctx, cancel := context.WithCancel(context.Background())
-		s := begin(b, ctx, run, "r")
+		s := openRun(b, ctx, run, "r")
 		if _, err := s.Recv(); err != nil {
 			b.Fatal(err)
 		}
@@ -156,53 +160,53 @@
 	}
 }
 
-// gnetStreams is a trial of gnet as the stream listener: each connection's
-// bytes go to drpc through a pipe, since drpc reads by blocking.
-type gnetStreams struct {
+// gnetStreamServer is an experimental stream listener on gnet. The bytes of each
+// connection reach drpc through a buffer, because drpc uses blocking reads.
+type gnetStreamServer struct {
 	gnet.BuiltinEventEngine
 	server *drpcserver.Server
-	boot   chan gnet.Engine
+	booted chan gnet.Engine
 }
 
-// gnetTransport is drpc's side of one gnet connection.
+// gnetTransport is the transport that drpc uses for one gnet connection.
 type gnetTransport struct {
 	conn gnet.Conn
 
-	mu     sync.Mutex // guards the fields below
-	filled *sync.Cond
-	buf    []byte
-	closed bool
+	mu       sync.Mutex // guards the fields below
+	readable *sync.Cond
+	buf      []byte
+	closed   bool
 }
 
-func (g *gnetStreams) OnBoot(e gnet.Engine) gnet.Action {
-	g.boot <- e
+func (g *gnetStreamServer) OnBoot(e gnet.Engine) gnet.Action {
+	g.booted <- e
 	return gnet.None
 }
 
-func (g *gnetStreams) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
+func (g *gnetStreamServer) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
 	tr := &gnetTransport{conn: c}
-	tr.filled = sync.NewCond(&tr.mu)
+	tr.readable = sync.NewCond(&tr.mu)
 	c.SetContext(tr)
 	go g.server.ServeOne(context.Background(), tr)
 	return nil, gnet.None
 }
 
-func (g *gnetStreams) OnTraffic(c gnet.Conn) gnet.Action {
+func (g *gnetStreamServer) OnTraffic(c gnet.Conn) gnet.Action {
 	buf, _ := c.Next(-1)
 	tr := c.Context().(*gnetTransport)
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	tr.buf = append(tr.buf, buf...) // unbounded: the loop can't wait for drpc
-	tr.filled.Signal()
+	tr.buf = append(tr.buf, buf...) // unbounded, because the event loop can't wait for drpc
+	tr.readable.Signal()
 	return gnet.None
 }
 
-func (g *gnetStreams) OnClose(c gnet.Conn, _ error) gnet.Action {
+func (g *gnetStreamServer) OnClose(c gnet.Conn, _ error) gnet.Action {
 	tr := c.Context().(*gnetTransport)
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	tr.closed = true
-	tr.filled.Signal()
+	tr.readable.Signal()
 	return gnet.None
 }
 
@@ -213,63 +217,64 @@
 		if t.closed {
 			return 0, io.EOF
 		}
-		t.filled.Wait()
+		t.readable.Wait()
 	}
 	n := copy(p, t.buf)
 	t.buf = t.buf[n:]
 	return n, nil
 }
 
-// Write copies, because gnet sends later; it doesn't wait, so a slow reader
-// fills gnet's own outbound buffer.
+// Write copies p, because gnet sends asynchronously. It doesn't block, so a slow
+// reader fills gnet's outbound buffer.
 func (t *gnetTransport) Write(p []byte) (int, error) {
 	return len(p), t.conn.AsyncWrite(append([]byte(nil), p...), nil)
 }
 
 func (t *gnetTransport) Close() error { return t.conn.Close() }
 
-// serveGnet starts the trial listener.
+// serveGnet starts a gnetStreamServer and returns its address.
 func serveGnet(b *testing.B, run func(wirepb.DRPCAgent_RunStream) error) string {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	addr := lis.Addr().String()
-	lis.Close() // gnet has no call for the bound port
-	g := &gnetStreams{server: plainServer(b, run), boot: make(chan gnet.Engine, 1)}
-	go gnet.Run(g, "tcp://"+addr, gnet.WithMulticore(true), gnet.WithLogger(gnetLog{Options{}.withDefaults().Log}))
-	engine := <-g.boot
+	lis.Close() // gnet has no call that returns the bound port
+	g := &gnetStreamServer{server: newDefaultServer(b, run), booted: make(chan gnet.Engine, 1)}
+	go gnet.Run(g, "tcp://"+addr, gnet.WithMulticore(true), gnet.WithLogger(gnetLogger{Options{}.withDefaults().Log}))
+	engine := <-g.booted
 	b.Cleanup(func() { engine.Stop(context.Background()) })
 	return addr
 }
 
-// BenchmarkListener weighs gnet against net.Listener for drpc: a run of ten
-// chunks, and the memory of idle streams. The client is the same in both.
+// BenchmarkListener compares gnet and net.Listener as the listener for drpc: runs
+// of ten chunks, one after the other and in parallel, the memory of idle streams
+// and the memory of a stream whose reader has stopped. Both use the same client.
 func BenchmarkListener(b *testing.B) {
 	listeners := map[string]func(*testing.B, func(wirepb.DRPCAgent_RunStream) error) string{
-		"net": servePlain, "gnet": serveGnet,
+		"net": serveDefaults, "gnet": serveGnet,
 	}
 	for name, serve := range listeners {
 		b.Run(name+"/tenchunks", func(b *testing.B) {
-			addr := serve(b, tenChunks)
+			addr := serve(b, sendTenChunks)
 			d := newDialer(b, Options{})
 			for b.Loop() {
-				runOnce(b, d, addr, 10)
+				completeRun(b, d, addr, 10)
 			}
 		})
 		b.Run(name+"/parallel", func(b *testing.B) {
-			addr := serve(b, tenChunks)
+			addr := serve(b, sendTenChunks)
 			d := newDialer(b, Options{})
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					runOnce(b, d, addr, 10)
+					completeRun(b, d, addr, 10)
 				}
 			})
 		})
 		b.Run(name+"/idle=1000", func(b *testing.B) {
-			addr := serve(b, idle)
+			addr := serve(b, holdOpen)
 			d := newDialer(b, Options{})
-			measureIdle(b, 1000, dialing(d, addr))
+			measureIdleStreams(b, 1000, dialRun(d, addr))
 		})
 		b.Run(name+"/stoppedreader", func(b *testing.B) {
 			benchmarkStoppedReader(b, serve)
@@ -277,12 +282,12 @@
 	}
 }
 
-// benchmarkStoppedReader prints how much memory a stream of 64 MiB takes while
-// its reader doesn't read.
+// benchmarkStoppedReader reports how much of a stream of 64 MiB is sent, and how
+// much memory is used, while its reader doesn't read.
 func benchmarkStoppedReader(b *testing.B, serve func(*testing.B, func(wirepb.DRPCAgent_RunStream) error) string) {
 	const size, total = 64 << 10, 1024
 	for range b.N {
-		var sent counter
+		var sent stableCounter
 		addr := serve(b, func(s wirepb.DRPCAgent_RunStream) error {
 			if _, err := s.Recv(); err != nil {
 				return err
@@ -296,11 +301,11 @@
 			}
 			return nil
 		})
-		before := inUse()
+		before := memoryInUse()
 		ctx, cancel := context.WithCancel(context.Background())
-		begin(b, ctx, dialing(newDialer(b, Options{}), addr), "r")
-		b.ReportMetric(float64(sent.settle()*size)/(1<<20), "MiB-sent")
-		b.ReportMetric(float64(inUse()-before)/(1<<20), "MiB-held")
+		openRun(b, ctx, dialRun(newDialer(b, Options{}), addr), "r")
+		b.ReportMetric(float64(sent.waitStable()*size)/(1<<20), "MiB-sent")
+		b.ReportMetric(float64(memoryInUse()-before)/(1<<20), "MiB-held")
 		cancel()
 	}
 }
--- a/wire/stream_test.go
+++ b/wire/stream_test.go
@@ -13,7 +13,7 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// fakeAgent answers runs as a test tells it to.
+// fakeAgent is an agent service that handles runs with the function run.
 type fakeAgent struct {
 	wirepb.DRPCAgentUnimplementedServer
 	run func(wirepb.DRPCAgent_RunStream) error
@@ -29,7 +29,7 @@
 	return nil, errors.New("ledger broke")
 }
 
-// serveAgent starts a server on loopback and returns its address.
+// serveAgent starts a server on loopback and returns it with its address.
 func serveAgent(t testing.TB, a *fakeAgent, opts Options) (*Server, string) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -52,8 +52,8 @@
 	return s, lis.Addr().String()
 }
 
-// chunks sends n chunks of the given size and an End.
-func chunks(s wirepb.DRPCAgent_RunStream, n, size int) error {
+// sendChunks sends n chunks of size bytes and an End.
+func sendChunks(s wirepb.DRPCAgent_RunStream, n, size int) error {
 	data := make([]byte, size)
 	for i := range n {
 		c := &wirepb.Chunk{Sequence: uint64(i), Data: data}
@@ -64,12 +64,13 @@
 	return s.Send(&wirepb.RunDown{Body: &wirepb.RunDown_End{End: &wirepb.End{Chunks: uint64(n)}}})
 }
 
-// start is the first message of a run.
-func start(id string) *wirepb.RunUp {
+// startMessage returns the first message of a run.
+func startMessage(id string) *wirepb.RunUp {
 	return &wirepb.RunUp{Body: &wirepb.RunUp_Start{Start: &wirepb.Start{RequestId: id}}}
 }
 
-// readToEnd counts the chunks before the End.
+// readToEnd reads a stream up to its End and returns the number of messages
+// before it.
 func readToEnd(t testing.TB, s wirepb.DRPCAgent_RunClient) int {
 	t.Helper()
 	n := 0
@@ -91,30 +92,30 @@
 	return d
 }
 
-// runFunc opens a stream.
-type runFunc func(context.Context) (wirepb.DRPCAgent_RunClient, error)
+// openRunFunc opens the stream of a run.
+type openRunFunc func(context.Context) (wirepb.DRPCAgent_RunClient, error)
 
-func dialing(d *Dialer, addr string) runFunc {
+func dialRun(d *Dialer, addr string) openRunFunc {
 	return func(ctx context.Context) (wirepb.DRPCAgent_RunClient, error) { return d.Run(ctx, addr) }
 }
 
-// begin opens a stream and sends its first message.
-func begin(t testing.TB, ctx context.Context, run runFunc, id string) wirepb.DRPCAgent_RunClient {
+// openRun opens a stream and sends its first message.
+func openRun(t testing.TB, ctx context.Context, run openRunFunc, id string) wirepb.DRPCAgent_RunClient {
 	t.Helper()
 	s, err := run(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Send(start(id)); err != nil {
+	if err := s.Send(startMessage(id)); err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-// runOnce runs one stream of n chunks to its end.
-func runOnce(t testing.TB, d *Dialer, addr string, n int) {
+// completeRun opens a run, reads it to its end and checks that it has n chunks.
+func completeRun(t testing.TB, d *Dialer, addr string, n int) {
 	t.Helper()
-	s := begin(t, context.Background(), dialing(d, addr), "r")
+	s := openRun(t, context.Background(), dialRun(d, addr), "r")
 	if got := readToEnd(t, s); got != n {
 		t.Fatalf("%d chunks, want %d", got, n)
 	}
@@ -129,13 +130,13 @@
 		if _, err := s.Recv(); err != nil {
 			return err
 		}
-		return chunks(s, 10, 64)
+		return sendChunks(s, 10, 64)
 	}}
 	reg := metrics.NewRegistry()
 	_, addr := serveAgent(t, agent, Options{Metrics: reg})
 	d := newDialer(t, Options{Metrics: reg})
 	for range 20 {
-		runOnce(t, d, addr, 10)
+		completeRun(t, d, addr, 10)
 	}
 	if st, err := d.Status(context.Background(), addr); err != nil || st.ConfigVersion != 7 {
 		t.Fatalf("status %v, %v", st, err)
@@ -148,11 +149,10 @@
 	}
 }
 
-// Symptom: a request is reported as outcome unknown although the agent's VM was
-// gone before the entry called it.
-// Sequence: the agent's process dies; the entry dials its address.
-// Cause: a failed dial is not told apart from a call that was sent.
-func TestDialErrorIsNotSent(t *testing.T) {
+// Guards against a failed dial that is treated like a call that was sent: after
+// an agent's process dies, an entry that dials its address would report the
+// outcome of the request as unknown.
+func TestDialErrorIsErrNotSent(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -164,33 +164,31 @@
 	_, holdErr := d.Hold(context.Background(), addr, &wirepb.HoldRequest{})
 	for _, err := range []error{runErr, holdErr} {
 		if !errors.Is(err, ErrNotSent) {
-			t.Errorf("%v isn't ErrNotSent", err)
+			t.Errorf("got error %v, want ErrNotSent", err)
 		}
 		if !strings.Contains(err.Error(), addr) {
-			t.Errorf("%v doesn't name the peer", err)
+			t.Errorf("error %v doesn't contain the address of the peer", err)
 		}
 	}
 }
 
-// Symptom: a hold that the agent may have granted is taken as never sent, and
-// memory stays reserved.
-// Sequence: the agent's handler fails after it was called.
-// Cause: every error of a call is treated as a failed dial.
-func TestHandlerErrorIsNotNotSent(t *testing.T) {
+// Guards against treating every error of a call as a failed dial: when the
+// agent's handler fails after it was called, a hold that the agent may have
+// granted would be taken as never sent, and its memory would stay reserved.
+func TestHandlerErrorIsNotErrNotSent(t *testing.T) {
 	_, addr := serveAgent(t, &fakeAgent{}, Options{})
 	_, err := newDialer(t, Options{}).Hold(context.Background(), addr, &wirepb.HoldRequest{})
 	if err == nil || errors.Is(err, ErrNotSent) || !strings.Contains(err.Error(), "ledger broke") {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got error %v, want the handler's error", err)
 	}
 }
 
-// Symptom: entries and agents run out of memory when one caller stops reading.
-// Sequence: a caller stops reading; the entry stops receiving; the agent keeps
-// sending chunks.
-// Cause: a stream without flow control queues what isn't read.
+// Guards against a stream without flow control: when a caller stops reading, the
+// entry stops receiving while the agent keeps sending chunks, and the unread
+// chunks would be queued until the processes run out of memory.
 func TestStoppedReaderBlocksSender(t *testing.T) {
-	const size, total = 64 << 10, 4096 // 256 MiB in all
-	var sent counter
+	const size, total = 64 << 10, 4096 // 256 MiB in total
+	var sent stableCounter
 	agent := &fakeAgent{run: func(s wirepb.DRPCAgent_RunStream) error {
 		data := make([]byte, size)
 		for range total {
@@ -205,10 +203,10 @@
 	_, addr := serveAgent(t, agent, Options{})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	s := begin(t, ctx, dialing(newDialer(t, Options{}), addr), "r")
-	stalled := sent.settle()
+	s := openRun(t, ctx, dialRun(newDialer(t, Options{}), addr), "r")
+	stalled := sent.waitStable()
 	if stalled >= total/2 {
-		t.Fatalf("%d of %d chunks went out with no reader", stalled, total)
+		t.Fatalf("%d of %d chunks were sent without a reader", stalled, total)
 	}
 	for range total {
 		if _, err := s.Recv(); err != nil {
@@ -217,14 +215,13 @@
 	}
 }
 
-// Symptom: an engine goes on generating for a caller that has gone.
-// Sequence: the caller vanishes while the agent is blocked in a Send that
-// nobody reads; the entry cancels the stream.
-// Cause: a cancel that waits behind the unread chunks never reaches the agent.
-func TestCancelFreesBlockedSender(t *testing.T) {
-	freed := make(chan struct{})
+// Guards against a cancel that waits behind unread chunks and never reaches the
+// agent: the caller disconnects while the agent is blocked in a Send, the entry
+// cancels the stream, and the engine would continue to generate.
+func TestCancelUnblocksSender(t *testing.T) {
+	returned := make(chan struct{})
 	agent := &fakeAgent{run: func(s wirepb.DRPCAgent_RunStream) error {
-		defer close(freed)
+		defer close(returned)
 		if _, err := s.Recv(); err != nil {
 			return err
 		}
@@ -237,28 +234,27 @@
 	}}
 	_, addr := serveAgent(t, agent, Options{})
 	ctx, cancel := context.WithCancel(context.Background())
-	s := begin(t, ctx, dialing(newDialer(t, Options{}), addr), "r")
+	s := openRun(t, ctx, dialRun(newDialer(t, Options{}), addr), "r")
 	if _, err := s.Recv(); err != nil {
 		t.Fatal(err)
 	}
 	cancel()
-	<-freed
+	<-returned
 }
 
-// Symptom: a run ends with chunks of another request.
-// Sequence: a stream is cancelled while chunks are under way; the next run
-// takes the same connection.
-// Cause: leftovers of the cancelled stream reach its successor.
-func TestCancelledStreamLeavesNothingBehind(t *testing.T) {
+// Guards against messages of a cancelled stream that reach the next stream: a
+// stream is cancelled while messages are in flight, and the next run, which uses
+// the same connection, would receive chunks of another request.
+func TestReusedConnectionHasNoStaleMessages(t *testing.T) {
 	agent := &fakeAgent{run: func(s wirepb.DRPCAgent_RunStream) error {
 		up, err := s.Recv()
 		if err != nil {
 			return err
 		}
 		if up.GetStart().RequestId == "r" {
-			return chunks(s, 10, 64)
+			return sendChunks(s, 10, 64)
 		}
-		for { // endless: only the cancel ends it
+		for { // sends until the stream is cancelled
 			if err := s.Send(&wirepb.RunDown{Body: &wirepb.RunDown_Head{Head: &wirepb.Head{}}}); err != nil {
 				return err
 			}
@@ -268,42 +264,42 @@
 	d := newDialer(t, Options{})
 	for range 20 {
 		ctx, cancel := context.WithCancel(context.Background())
-		s := begin(t, ctx, dialing(d, addr), "endless")
+		s := openRun(t, ctx, dialRun(d, addr), "endless")
 		if _, err := s.Recv(); err != nil {
 			t.Fatal(err)
 		}
 		cancel()
 		<-s.Context().Done()
-		runOnce(t, d, addr, 10)
+		completeRun(t, d, addr, 10)
 	}
 }
 
-// Symptom: a rolling replacement of agents cuts off answers.
-// Sequence: SIGTERM while a run is half way; the agent shuts its server down.
-// Cause: shutdown closes connections that carry a stream.
-func TestShutdownLetsStreamsEnd(t *testing.T) {
-	half, goOn := make(chan struct{}), make(chan struct{})
+// Guards against a shutdown that closes connections with an open stream: an agent
+// that receives SIGTERM during a run would truncate the response, as in a rolling
+// replacement of agents.
+func TestShutdownWaitsForStreams(t *testing.T) {
+	started, resume := make(chan struct{}), make(chan struct{})
 	agent := &fakeAgent{run: func(s wirepb.DRPCAgent_RunStream) error {
 		if _, err := s.Recv(); err != nil {
 			return err
 		}
-		close(half)
-		<-goOn
-		return chunks(s, 100, 1024)
+		close(started)
+		<-resume
+		return sendChunks(s, 100, 1024)
 	}}
 	server, addr := serveAgent(t, agent, Options{})
 	d := newDialer(t, Options{})
-	s := begin(t, context.Background(), dialing(d, addr), "r")
-	<-half
-	short, cancel := context.WithCancel(context.Background())
+	s := openRun(t, context.Background(), dialRun(d, addr), "r")
+	<-started
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := server.Shutdown(short); err == nil {
-		t.Fatal("shutdown returned while a stream was running")
+	if err := server.Shutdown(canceled); err == nil {
+		t.Fatal("Shutdown returned nil while a stream was open")
 	}
 	if _, err := newDialer(t, Options{}).Run(context.Background(), addr); !errors.Is(err, ErrNotSent) {
-		t.Fatalf("a draining server took a new connection: %v", err)
+		t.Fatalf("got error %v from a new connection to a stopping server, want ErrNotSent", err)
 	}
-	close(goOn)
+	close(resume)
 	if got := readToEnd(t, s); got != 100 {
 		t.Fatalf("%d chunks, want 100", got)
 	}
@@ -312,10 +308,9 @@
 	}
 }
 
-// Symptom: one peer fills a process's memory with a single message.
-// Sequence: a message longer than MaxMessageBytes is sent.
-// Cause: the receiver buffers what it is sent.
-func TestOversizedMessageIsRefused(t *testing.T) {
+// Guards against a receiver that buffers a message of any size: a peer could fill
+// its memory with a single message longer than MaxMessageBytes.
+func TestOversizedMessageIsRejected(t *testing.T) {
 	got := make(chan error, 1)
 	agent := &fakeAgent{run: func(s wirepb.DRPCAgent_RunStream) error {
 		_, err := s.Recv()
@@ -334,9 +329,9 @@
 	}
 }
 
-// Symptom: file descriptors of a long-lived agent run out.
-// Sequence: entries come and go and leave idle connections.
-// Cause: the server keeps a connection that carries no stream for ever.
+// Guards against a server that never closes connections without a stream: entries
+// that are replaced leave idle connections, and a long-lived agent would run out
+// of file descriptors.
 func TestIdleConnectionIsClosed(t *testing.T) {
 	_, addr := serveAgent(t, &fakeAgent{}, Options{IdleTimeout: 50 * time.Millisecond})
 	conn, err := net.Dial("tcp", addr)
@@ -345,6 +340,6 @@
 	}
 	defer conn.Close()
 	if _, err := conn.Read(make([]byte, 1)); err == nil {
-		t.Fatal("the idle connection sent something")
+		t.Fatal("received data on an idle connection, want it closed")
 	}
 }
