--- a/rollout/action.go
+++ b/rollout/action.go
@@ -7,30 +7,30 @@
 	"github.com/briarturn/briarturn/wire/wirepb"
 )
 
-// Verb is what an order asks an agent for.
+// Verb is the kind of change that an order asks an agent to make.
 type Verb string
 
-// Verbs of an Action, as agents and engines know them.
+// Verbs of an Action. Agents and engines receive these strings.
 const (
 	VerbLoad    Verb = "load"
 	VerbUnload  Verb = "unload"
 	VerbSetRole Verb = "role"
 )
 
-// Action is one order to one engine. With Adapter set it is for that adapter of
-// Model, else for Model; with Verb Role it is for neither.
+// Action is one order for one engine. A load or unload is for Adapter of Model if
+// Adapter is set, otherwise for Model. VerbSetRole uses neither.
 type Action struct {
 	Server  string
-	Address string // of the agent
+	Address string // address of the agent, ip:port
 	Verb    Verb
 	Model   string
 	Adapter string
 	Version string
-	Source  string // in the weight store
+	Source  string // location in the weight store
 	Role    backend.Role
 }
 
-// Name is what is loaded or unloaded.
+// Name returns the name of the model or adapter that is loaded or unloaded.
 func (a *Action) Name() string {
 	if a.Adapter != "" {
 		return a.Adapter
@@ -38,7 +38,8 @@
 	return a.Model
 }
 
-// id is equal for equal actions, so that logs of both sides can be joined.
+// id returns the order ID. Equal actions have equal IDs, so that the logs of the
+// sender and the agent can be joined.
 func (a *Action) id() string {
 	return string(a.Verb) + "/" + a.Server + "/" + a.Name() + "/" + a.Version + string(a.Role)
 }
@@ -57,44 +58,46 @@
 	}
 }
 
-// begun shows an order that is under way: what it unloads or replaces may have
-// been withdrawn already, and a change of role takes the engine from its place.
-func (a *Action) begun(r *Replica) {
+// applyStarted changes r to show an order in progress. The engine may already
+// have withdrawn the weights that the order unloads or replaces. An engine whose
+// role changes serves nothing.
+func (a *Action) applyStarted(r *Replica) {
 	r.Busy = true
 	switch a.Verb {
 	case VerbLoad:
 		r.Loading = a.Name()
-		r.Serving = drop(r.Serving, a.Name())
+		r.Serving = removeName(r.Serving, a.Name())
 	case VerbUnload:
-		r.Serving = drop(r.Serving, a.Name())
+		r.Serving = removeName(r.Serving, a.Name())
 	case VerbSetRole:
 		r.Serving = nil
 	}
 }
 
-// done shows an order that was carried out and that a report may not show yet.
-func (a *Action) done(r *Replica) {
+// applyCompleted changes r to show an order that was carried out and that
+// reports may not show yet.
+func (a *Action) applyCompleted(r *Replica) {
 	name := a.Name()
 	switch a.Verb {
 	case VerbLoad:
-		r.Weights = append(dropWeights(r.Weights, name),
+		r.Weights = append(removeWeights(r.Weights, name),
 			backend.Weights{Name: name, Version: backend.VersionKey(a.Version), Adapter: a.Adapter != ""})
-		r.Serving = append(drop(r.Serving, name), name)
+		r.Serving = append(removeName(r.Serving, name), name)
 		if r.Loading == name {
 			r.Loading = ""
 		}
 	case VerbUnload:
-		r.Weights = dropWeights(r.Weights, name)
-		r.Serving = drop(r.Serving, name)
+		r.Weights = removeWeights(r.Weights, name)
+		r.Serving = removeName(r.Serving, name)
 	case VerbSetRole:
 		r.Role = a.Role
 	}
 }
 
-func drop(list []string, name string) []string {
+func removeName(list []string, name string) []string {
 	return slices.DeleteFunc(slices.Clone(list), func(s string) bool { return s == name })
 }
 
-func dropWeights(list []backend.Weights, name string) []backend.Weights {
+func removeWeights(list []backend.Weights, name string) []backend.Weights {
 	return slices.DeleteFunc(slices.Clone(list), func(w backend.Weights) bool { return w.Name == name })
 }
--- a/rollout/doc.go
+++ b/rollout/doc.go
@@ -1,22 +1,26 @@
-// Package rollout brings the engines of a model pool to what its ModelPool
-// declares: models, their versions and adapters, roles, and replicas over zones.
+// Package rollout changes the engines of a model pool until they match its
+// ModelPool: the models with their versions and adapters, the roles of the
+// engines, and the spread of replicas over zones.
 //
 // Rules:
 //
-//   - Level-triggered: each step is planned from what is declared and what is
-//     observed now. Nothing depends on the order in which objects came, and an
-//     order whose answer was lost is settled by looking again.
-//   - Plan is a function of its arguments. Reconciler alone does anything.
-//   - One actor a pool: the holder of the lease named by LeaseName. Each order
-//     carries its fence, so a paused holder that wakes is refused.
-//   - At most one order at a time goes to an engine.
+//   - Reconciliation is level-triggered: each step is planned from the declared
+//     and the observed state. Nothing depends on the order in which objects
+//     arrive. If the response to an order is lost, the next observation shows
+//     whether the order was carried out.
+//   - Plan is a pure function of its arguments. Only Reconciler acts.
+//   - One process acts on a pool: the holder of the lease that LeaseName names.
+//     Each order carries the fence of the lease, so that agents refuse the
+//     orders of a holder that was paused beyond the end of its term.
+//   - At most one order is in progress for an engine.
 //   - At most ModelPool.MaxWeightLoads engines of a pool load from the weight store
-//     at a time. What a former holder began is counted: engines show it.
-//   - Replicas that serve a model don't fall under Options.MinServing of those
-//     wanted through an order given here, but by one where that would stop all
-//     progress.
-//   - The status object is written on change only, at most once in
+//     at a time. Loads that an earlier holder started count too, since the
+//     engines report them.
+//   - Orders don't reduce the replicas that serve a model below the fraction
+//     Options.MinServing of the replicas that have an engine. One replica may
+//     always stop, since a model with few replicas could not change otherwise.
+//   - The status object is written only if it changes, and at most once per
 //     Options.StatusInterval.
 //
-// Lock order: Reconciler has one mutex, a leaf.
+// Lock order: the mutex of Reconciler is the only lock and a leaf.
 package rollout
--- a/rollout/main_test.go
+++ b/rollout/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the property tests, so that the verdict is the
-// same each run; -rapid.seed gives another.
+// TestMain fixes the seed of the property tests so that each run has the same
+// result. The flag -rapid.seed sets another seed.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -30,9 +30,10 @@
 	return out
 }
 
-// carry carries out all that a plan wants, and returns how many orders it took.
-// At each round it checks the slots and calls check before the round is done.
-func carry(t require, p *declared.ModelPool, replicas []Replica, check func(during []Replica)) int {
+// converge carries out plans until all engines match their targets, and returns the
+// number of orders. In each round it checks the number of loads and calls check
+// with the state while the orders are in progress.
+func converge(t fataler, p *declared.ModelPool, replicas []Replica, check func(during []Replica)) int {
 	orders := 0
 	for range 10_000 {
 		plan := Plan(p, replicas, DefaultMinServing)
@@ -42,16 +43,16 @@
 			a := &plan.Actions[i]
 			at := slices.IndexFunc(replicas, func(r Replica) bool { return r.Name == a.Server })
 			if during[at].Busy {
-				t.Fatalf("two orders at a time for %s", a.Server)
+				t.Fatalf("two concurrent orders for %s", a.Server)
 			}
-			a.begun(&during[at])
-			a.done(&replicas[at])
+			a.applyStarted(&during[at])
+			a.applyCompleted(&replicas[at])
 			if a.Verb == VerbLoad {
 				loads++
 			}
 		}
 		if loads > p.MaxWeightLoads {
-			t.Fatalf("%d loads at a time, %d allowed", loads, p.MaxWeightLoads)
+			t.Fatalf("%d concurrent loads, %d allowed", loads, p.MaxWeightLoads)
 		}
 		check(during)
 		orders += len(plan.Actions)
@@ -59,14 +60,14 @@
 			return orders
 		}
 		if len(plan.Actions) == 0 {
-			t.Fatalf("stuck with %d engines that differ: %+v", plan.Outdated, replicas)
+			t.Fatalf("no orders while %d engines are outdated: %+v", plan.Outdated, replicas)
 		}
 	}
-	t.Fatalf("no end after %d orders", orders)
+	t.Fatalf("not converged after %d orders", orders)
 	return orders
 }
 
-type require interface{ Fatalf(string, ...any) }
+type fataler interface{ Fatalf(string, ...any) }
 
 func serving(replicas []Replica, name string) int {
 	n := 0
@@ -78,69 +79,67 @@
 	return n
 }
 
-// Symptom: requests for a model find no engine while a new version is rolled out,
-// or the pool is split into roles. Sequence: all engines serve version 1; version
-// 2 is declared, then another split. Cause: all are replaced at once.
-func TestCapacityIsKept(t *testing.T) {
+// Guards against replacing all engines at once when a new version is rolled out or
+// the pool is split into roles: requests for the model would find no engine.
+func TestRolloutKeepsMinServing(t *testing.T) {
 	replicas := engines(16)
-	carry(t, pool(model("m", "1", 16)), replicas, func([]Replica) {})
-	enough := func(during []Replica) {
+	converge(t, pool(model("m", "1", 16)), replicas, func([]Replica) {})
+	checkServing := func(during []Replica) {
 		t.Helper()
 		if n := serving(during, "m"); n < 12 {
-			t.Fatalf("%d of 16 serve, want 12", n)
+			t.Fatalf("%d of 16 engines serve, want at least 12", n)
 		}
 	}
 	next := pool(model("m", "2", 16))
 	next.MaxWeightLoads = 16
-	if orders := carry(t, next, replicas, enough); orders != 16 {
+	if orders := converge(t, next, replicas, checkServing); orders != 16 {
 		t.Errorf("%d orders, want 16", orders)
 	}
 	next.Models[0].Replicas = declared.Replicas{Mixed: 8, Prefill: 4, Decode: 4}
-	least := 0
-	carry(t, next, replicas, func(during []Replica) {
-		enough(during)
+	maxDifference := 0
+	converge(t, next, replicas, func(during []Replica) {
+		checkServing(during)
 		roles := map[backend.Role]int{}
 		for i := range during {
 			roles[during[i].Role]++
 		}
-		least = max(least, max(roles[backend.RolePrefill], roles[backend.RoleDecode])-min(roles[backend.RolePrefill], roles[backend.RoleDecode]))
+		maxDifference = max(maxDifference, max(roles[backend.RolePrefill], roles[backend.RoleDecode])-min(roles[backend.RolePrefill], roles[backend.RoleDecode]))
 	})
-	if least > 1 {
-		t.Errorf("one role was %d engines ahead of the other", least)
+	if maxDifference > 1 {
+		t.Errorf("one role was %d engines ahead of the other", maxDifference)
 	}
 }
 
-// Symptom: a pool never gets its new model. Sequence: a model of one replica on
-// the only engine is replaced by another. Cause: the share that has to go on
-// serving rounds up to all.
-func TestSingleReplicaCanChange(t *testing.T) {
+// Guards against a pool that never gets its new model: with a single replica, the
+// fraction that must keep serving would round up to all replicas.
+func TestSingleReplicaIsReplaced(t *testing.T) {
 	replicas := engines(1)
-	carry(t, pool(model("m", "1", 1)), replicas, func([]Replica) {})
-	carry(t, pool(model("m", "2", 1)), replicas, func([]Replica) {})
-	carry(t, pool(model("other", "1", 1)), replicas, func([]Replica) {})
+	converge(t, pool(model("m", "1", 1)), replicas, func([]Replica) {})
+	converge(t, pool(model("m", "2", 1)), replicas, func([]Replica) {})
+	converge(t, pool(model("other", "1", 1)), replicas, func([]Replica) {})
 	if diff := cmp.Diff([]string{"other"}, replicas[0].Serving); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func TestDeadEnginesReplicasMove(t *testing.T) {
+func TestReplicaOfRemovedEngineMoves(t *testing.T) {
 	replicas := engines(9)
 	p := pool(model("m", "1", 6))
-	carry(t, p, replicas, func([]Replica) {})
+	converge(t, p, replicas, func([]Replica) {})
 	gone := slices.IndexFunc(replicas, func(r Replica) bool { return r.serves("m") })
 	replicas = slices.Delete(replicas, gone, gone+1)
-	if orders := carry(t, p, replicas, func([]Replica) {}); orders != 1 {
+	if orders := converge(t, p, replicas, func([]Replica) {}); orders != 1 {
 		t.Errorf("%d orders, want 1", orders)
 	}
 	silent := slices.IndexFunc(replicas, func(r Replica) bool { return r.serves("m") })
 	replicas[silent].Unresponsive = true
 	if plan := Plan(p, replicas, DefaultMinServing); len(plan.Actions) > 0 {
-		t.Errorf("an engine that is silent for a moment loses its place: %+v", plan.Actions)
+		t.Errorf("orders although the engine is only unresponsive: %+v", plan.Actions)
 	}
 }
 
-// Any pool converges from any state of its engines, with zones even, and then
-// stays as it is.
+// Any pool converges from any state of its engines, with replicas even over the
+// zones, and then does not change.
 func TestPlanConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		replicas := engines(rapid.IntRange(1, 14).Draw(t, "engines"))
@@ -149,7 +148,7 @@
 		}
 		for range rapid.IntRange(1, 3).Draw(t, "changes") {
 			p := drawPool(t)
-			carry(t, p, replicas, func([]Replica) {})
+			converge(t, p, replicas, func([]Replica) {})
 			checkPlaced(t, p, replicas)
 		}
 	})
@@ -182,41 +181,42 @@
 	return p
 }
 
-// checkPlaced looks at the engines themselves, not at what Plan says of them.
-func checkPlaced(t require, p *declared.ModelPool, replicas []Replica) {
+// checkPlaced checks the state of the engines, not only the counts that Plan
+// returns.
+func checkPlaced(t fataler, p *declared.ModelPool, replicas []Replica) {
 	plan := Plan(p, replicas, DefaultMinServing)
 	missing := 0
 	for i := range p.Models {
 		m := &p.Models[i]
 		perZone := map[string]int{}
 		for j := range replicas {
-			if replicas[j].current(m.Name, m.Version) {
+			if replicas[j].servesVersion(m.Name, m.Version) {
 				perZone[replicas[j].Zone]++
 			} else if replicas[j].serves(m.Name) {
-				t.Fatalf("%s serves an old version of %s", replicas[j].Name, m.Name)
+				t.Fatalf("%s serves an outdated version of %s", replicas[j].Name, m.Name)
 			}
 		}
-		there := 0
+		placed := 0
 		for _, n := range perZone {
-			there += n
+			placed += n
 		}
-		missing += max(0, m.Replicas.Total()-there)
+		missing += max(0, m.Replicas.Total()-placed)
 	}
 	if missing > plan.Unplaced {
-		t.Fatalf("%d replicas are missing, the plan says %d", missing, plan.Unplaced)
+		t.Fatalf("%d replicas are missing, the plan has %d", missing, plan.Unplaced)
 	}
 }
 
-func TestZonesAreEven(t *testing.T) {
+func TestReplicasAreEvenOverZones(t *testing.T) {
 	replicas := engines(12)
-	carry(t, pool(model("m", "1", 6), model("n", "1", 5)), replicas, func([]Replica) {})
+	converge(t, pool(model("m", "1", 6), model("n", "1", 5)), replicas, func([]Replica) {})
 	got := map[string]int{}
 	for i := range replicas {
 		for _, name := range replicas[i].Serving {
 			got[name+" "+replicas[i].Zone]++
 		}
 		if len(replicas[i].Serving) > 1 {
-			t.Errorf("%s has %v while others are empty", replicas[i].Name, replicas[i].Serving)
+			t.Errorf("%s serves %v while other engines serve nothing", replicas[i].Name, replicas[i].Serving)
 		}
 	}
 	for _, zone := range zones {
--- a/rollout/reconciler.go
+++ b/rollout/reconciler.go
@@ -18,54 +18,55 @@
 // LeaseName returns the name of the lease whose holder reconciles a pool.
 func LeaseName(pool string) string { return "rollout/" + pool }
 
-// OrderClient gives an order to the agent at an address; wire.Dialer is one.
+// OrderClient sends an order to the agent at an address. wire.Dialer implements it.
 type OrderClient interface {
 	Order(ctx context.Context, addr string, in *wirepb.OrderRequest) (*wirepb.OrderResponse, error)
 }
 
 // Options of a Reconciler. Zero fields take the defaults.
 type Options struct {
-	MinServing       float64       // share of wanted replicas that go on serving; default 0.75
-	ResyncInterval   time.Duration // between looks at the engines; default 500 ms
-	MaxReportLag     time.Duration // a report may lag an order's answer by so much; default 10 s
-	OrderTimeout     time.Duration // of one order, the drain before it included; default 2.5 min
-	DebounceDelay    time.Duration // a pool has to be unchanged for so long; default 3 s
-	MaxDebounceDelay time.Duration // but it is waited no longer than this; default 10 s
-	RetryDelay       time.Duration // after a failed order, doubled up to RetryMax; default 1 s
-	MaxRetryDelay    time.Duration // default 30 s
-	StatusInterval   time.Duration // least time between two writes of the status; default 2 s
+	MinServing       float64       // fraction of a model's placed replicas that keep serving; default 0.75
+	ResyncInterval   time.Duration // interval between reads of the engines' state; default 500 ms
+	MaxReportLag     time.Duration // maximum delay of a report after the response to an order; default 10 s
+	OrderTimeout     time.Duration // timeout of one order, including the drain before it; default 2.5 min
+	DebounceDelay    time.Duration // time without changes to a pool before it is acted on; default 3 s
+	MaxDebounceDelay time.Duration // maximum wait for DebounceDelay; default 10 s
+	RetryDelay       time.Duration // delay after a failed order, doubled up to MaxRetryDelay; default 1 s
+	MaxRetryDelay    time.Duration // maximum delay after a failed order; default 30 s
+	StatusInterval   time.Duration // minimum time between two writes of the status; default 2 s
 }
 
 // Defaults of Options.
 const (
-	defaultLookInterval = 500 * time.Millisecond
-	defaultSettle       = 10 * time.Second
-	defaultOrderTimeout = 150 * time.Second
-	// defaultQuiet is the 2.5 s that a thousand held-back changes take at 400 writes
-	// a second, and the time by which one change can be heard sooner after it was
-	// made than the next. A pool that is edited at both ends of such a burst would
-	// otherwise seem quiet between, and weights be loaded for its first version.
-	defaultQuiet          = 2500*time.Millisecond + objectapi.DefaultWatchInterval
-	defaultQuietMax       = 10 * time.Second
-	defaultRetryAfter     = time.Second
-	defaultRetryMax       = 30 * time.Second
-	defaultStatusInterval = 2 * time.Second
+	defaultResyncInterval = 500 * time.Millisecond
+	defaultMaxReportLag   = 10 * time.Second
+	defaultOrderTimeout   = 150 * time.Second
+	// defaultDebounceDelay is the sum of two times: the 2.5 s that a burst of
+	// 1,000 changes takes at 400 writes a second, and the maximum difference
+	// between the delays with which two changes are observed. With a shorter
+	// delay, a pool that is edited at both ends of the burst would look unchanged
+	// in between, and weights would be loaded for its first version.
+	defaultDebounceDelay    = 2500*time.Millisecond + objectapi.DefaultWatchInterval
+	defaultMaxDebounceDelay = 10 * time.Second
+	defaultRetryDelay       = time.Second
+	defaultMaxRetryDelay    = 30 * time.Second
+	defaultStatusInterval   = 2 * time.Second
 )
 
-// statusTimeout bounds one write of the status.
+// statusTimeout is the timeout of one write of the status.
 const statusTimeout = 2 * time.Second
 
 func (o Options) withDefaults() Options {
 	if o.MinServing == 0 {
 		o.MinServing = DefaultMinServing
 	}
-	setDefault(&o.ResyncInterval, defaultLookInterval)
-	setDefault(&o.MaxReportLag, defaultSettle)
+	setDefault(&o.ResyncInterval, defaultResyncInterval)
+	setDefault(&o.MaxReportLag, defaultMaxReportLag)
 	setDefault(&o.OrderTimeout, defaultOrderTimeout)
-	setDefault(&o.DebounceDelay, defaultQuiet)
-	setDefault(&o.MaxDebounceDelay, defaultQuietMax)
-	setDefault(&o.RetryDelay, defaultRetryAfter)
-	setDefault(&o.MaxRetryDelay, defaultRetryMax)
+	setDefault(&o.DebounceDelay, defaultDebounceDelay)
+	setDefault(&o.MaxDebounceDelay, defaultMaxDebounceDelay)
+	setDefault(&o.RetryDelay, defaultRetryDelay)
+	setDefault(&o.MaxRetryDelay, defaultMaxRetryDelay)
 	setDefault(&o.StatusInterval, defaultStatusInterval)
 	return o
 }
@@ -76,53 +77,53 @@
 	}
 }
 
-// Config is what a Reconciler needs.
+// Config configures a Reconciler.
 type Config struct {
 	Pool  string
-	Lease *lease.Lease // of LeaseName(Pool)
+	Lease *lease.Lease // the lease LeaseName(Pool)
 	State func() *declared.State
-	// Replicas returns the pool's engines as observed now. complete is false
-	// while some may be there that aren't known yet: with a part of them only,
-	// the replicas of the rest would be placed anew.
+	// Replicas returns the observed engines of the pool. complete is false while
+	// some engines may not be known yet. A plan made from only a part of the
+	// engines would move the replicas of the rest.
 	Replicas    func() (list []Replica, complete bool)
 	OrderClient OrderClient
-	Store       objectapi.Store // for the status
+	Store       objectapi.Store // stores the status object
 	Options     Options
 	Log         logrus.FieldLogger
 	Metrics     metrics.Registry
 }
 
-// Reconciler works for one pool under one term of its lease.
+// Reconciler reconciles one pool during one term of its lease.
 type Reconciler struct {
-	cfg    Config
-	status *statusWriter
-	wake   chan struct{} // holds a token while an order has ended unseen
-	quiet  quiet
-	orders sync.WaitGroup
+	cfg      Config
+	status   *statusWriter
+	wake     chan struct{} // has a token if an order has ended since the last step
+	debounce debouncer
+	orders   sync.WaitGroup
 
-	begun, done, failed, stale metrics.Counter
+	ordersBegun, ordersDone, ordersFailed, ordersStale metrics.Counter
 
-	mu      sync.Mutex // guards everything below
-	engines map[string]*engineOrders
-	lost    bool // an agent knows a later fence
+	mu         sync.Mutex // guards everything below
+	engines    map[string]*engineOrders
+	superseded bool // an agent has seen a later fence
 }
 
-// engineOrders is what the Reconciler remembers of one engine. All of it may be
-// forgotten: it only bridges the time until reports show what orders did.
+// engineOrders is the state that the Reconciler keeps of one engine. All of it may
+// be lost: it only covers the time until reports show the effect of orders.
 type engineOrders struct {
-	running *Action
-	recent  []carriedOut
-	failure string // of the last order, empty if it was carried out
-	backoff time.Duration
-	retryAt time.Time
+	running     *Action
+	completed   []completedOrder
+	lastFailure string // error of the last order, empty if it was carried out
+	backoff     time.Duration
+	retryAt     time.Time
 }
 
-type carriedOut struct {
+type completedOrder struct {
 	Action
-	at time.Time
+	completedAt time.Time
 }
 
-// NewReconciler returns a Reconciler; Run makes it work.
+// NewReconciler returns a Reconciler. Call Run to start it.
 func NewReconciler(cfg Config) *Reconciler {
 	cfg.Options = cfg.Options.withDefaults()
 	if cfg.Metrics == nil {
@@ -132,28 +133,28 @@
 		return metrics.GetOrRegisterCounter("rollout."+name, cfg.Metrics)
 	}
 	return &Reconciler{
-		cfg:     cfg,
-		status:  &statusWriter{store: cfg.Store, name: StatusName(cfg.Pool), fence: cfg.Lease.Fence()},
-		wake:    make(chan struct{}, 1),
-		begun:   counter("orders_begun"),
-		done:    counter("orders_done"),
-		failed:  counter("orders_failed"),
-		stale:   counter("orders_stale"),
-		engines: map[string]*engineOrders{},
+		cfg:          cfg,
+		status:       &statusWriter{store: cfg.Store, name: StatusName(cfg.Pool), fence: cfg.Lease.Fence()},
+		wake:         make(chan struct{}, 1),
+		ordersBegun:  counter("orders_begun"),
+		ordersDone:   counter("orders_done"),
+		ordersFailed: counter("orders_failed"),
+		ordersStale:  counter("orders_stale"),
+		engines:      map[string]*engineOrders{},
 	}
 }
 
-// Run reconciles until the lease is lost or ctx ends, and returns once its
-// orders have ended. Orders under way aren't cancelled when the lease is lost:
-// they were given in time, and the engines show them to the next holder.
+// Run reconciles until the lease is lost or ctx ends, and returns after its orders
+// have ended. Orders in progress are not canceled when the lease is lost: they
+// were sent during the term, and the engines report them to the next holder.
 func (r *Reconciler) Run(ctx context.Context) error {
 	defer r.orders.Wait()
-	look := time.NewTicker(r.cfg.Options.ResyncInterval)
-	defer look.Stop()
+	resync := time.NewTicker(r.cfg.Options.ResyncInterval)
+	defer resync.Stop()
 	var statusAt time.Time
 	for {
-		if r.overtaken() {
-			return errors.Annotatef(lease.ErrNotHeld, "step reconcile, pool %s: later fence met", r.cfg.Pool)
+		if r.isSuperseded() {
+			return errors.Annotatef(lease.ErrNotHeld, "step reconcile, pool %s: an agent has seen a later fence", r.cfg.Pool)
 		}
 		if err := r.cfg.Lease.Check(); err != nil {
 			return errors.Annotatef(err, "step reconcile, pool %s", r.cfg.Pool)
@@ -172,36 +173,37 @@
 		case <-r.cfg.Lease.Done():
 		case <-state.Changed():
 		case <-r.wake:
-		case <-look.C:
+		case <-resync.C:
 		}
 	}
 }
 
-func (r *Reconciler) overtaken() bool {
+func (r *Reconciler) isSuperseded() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.lost
+	return r.superseded
 }
 
-// step plans once, begins what may begin, and returns the status to show.
+// step plans once, starts the orders that may start, and returns the status to
+// write.
 func (r *Reconciler) step(ctx context.Context, state *declared.State) Status {
 	pool, version := state.ModelPool(r.cfg.Pool)
 	now := time.Now()
 	replicas, complete := r.cfg.Replicas()
 	r.mu.Lock()
-	r.overlay(now, replicas)
-	failure := r.failures(replicas)
+	r.applyOrders(now, replicas)
+	failure := r.firstFailure(replicas)
 	r.mu.Unlock()
 	var plan PlanResult
 	if pool != nil && !complete {
-		return Status{ObservedVersion: version, Conditions: lookingConditions()}
+		return Status{ObservedVersion: version, Conditions: incompleteConditions()}
 	}
 	if pool != nil {
 		plan = Plan(pool, replicas, r.cfg.Options.MinServing)
 	}
-	if r.quiet.over(now, version, r.cfg.Options.DebounceDelay, r.cfg.Options.MaxDebounceDelay) {
+	if r.debounce.ready(now, version, r.cfg.Options.DebounceDelay, r.cfg.Options.MaxDebounceDelay) {
 		for i := range plan.Actions {
-			r.begin(ctx, plan.Actions[i])
+			r.startOrder(ctx, plan.Actions[i])
 		}
 	}
 	return Status{
@@ -211,73 +213,75 @@
 	}
 }
 
-// quiet waits until a pool is no longer being changed. In a burst, weights would
-// else be loaded of versions that are replaced a moment later, and a load that
-// has begun keeps its slot.
-type quiet struct {
-	version uint64
-	first   time.Time // change of those that were not acted on yet; zero: none
-	last    time.Time
+// debouncer delays actions until a pool no longer changes. Otherwise, during a
+// burst of changes, weights would be loaded of versions that are replaced a moment
+// later, and a load that has started keeps its slot.
+type debouncer struct {
+	version     uint64
+	firstChange time.Time // time of the first change not yet acted on; zero if none
+	lastChange  time.Time
 }
 
-// over tells whether to act on a version now.
-func (q *quiet) over(now time.Time, version uint64, least, most time.Duration) bool {
+// ready reports whether to act on a version now: the pool has not changed for
+// minDelay, or maxDelay has passed since the first change.
+func (q *debouncer) ready(now time.Time, version uint64, minDelay, maxDelay time.Duration) bool {
 	if version != q.version {
-		q.version, q.last = version, now
-		if q.first.IsZero() {
-			q.first = now
+		q.version, q.lastChange = version, now
+		if q.firstChange.IsZero() {
+			q.firstChange = now
 		}
 	}
-	if now.Sub(q.last) < least && now.Sub(q.first) < most {
+	if now.Sub(q.lastChange) < minDelay && now.Sub(q.firstChange) < maxDelay {
 		return false
 	}
-	q.first = time.Time{}
+	q.firstChange = time.Time{}
 	return true
 }
 
-// overlay puts what orders did, and may be doing, over what reports show: a
-// report that lags would else have an order given twice. Call with mu held.
-func (r *Reconciler) overlay(now time.Time, replicas []Replica) {
+// applyOrders changes the reported replicas to show the effects of completed orders
+// and of orders in progress. Otherwise an order would be sent twice if reports
+// lag. The caller holds r.mu.
+func (r *Reconciler) applyOrders(now time.Time, replicas []Replica) {
 	for i := range replicas {
 		e := r.engines[replicas[i].Name]
 		if e == nil {
 			continue
 		}
-		for len(e.recent) > 0 && now.Sub(e.recent[0].at) > r.cfg.Options.MaxReportLag {
-			e.recent = e.recent[1:]
+		for len(e.completed) > 0 && now.Sub(e.completed[0].completedAt) > r.cfg.Options.MaxReportLag {
+			e.completed = e.completed[1:]
 		}
-		for j := range e.recent {
-			e.recent[j].done(&replicas[i])
+		for j := range e.completed {
+			e.completed[j].applyCompleted(&replicas[i])
 		}
 		if e.running != nil {
-			e.running.begun(&replicas[i])
+			e.running.applyStarted(&replicas[i])
 		}
 		replicas[i].Busy = replicas[i].Busy || now.Before(e.retryAt)
 	}
 }
 
-// failures tells of orders that fail, and forgets engines that are gone. Call
-// with mu held.
-func (r *Reconciler) failures(replicas []Replica) string {
-	there := make(map[string]bool, len(replicas))
+// firstFailure returns the error of a failing order, if any, and removes the state
+// of engines that no longer exist. The caller holds r.mu.
+func (r *Reconciler) firstFailure(replicas []Replica) string {
+	present := make(map[string]bool, len(replicas))
 	for i := range replicas {
-		there[replicas[i].Name] = true
+		present[replicas[i].Name] = true
 	}
 	messages := map[string]string{}
 	for name, e := range r.engines {
-		if !there[name] && e.running == nil {
+		if !present[name] && e.running == nil {
 			delete(r.engines, name)
 			continue
 		}
-		if e.failure != "" {
-			messages[name] = e.failure
+		if e.lastFailure != "" {
+			messages[name] = e.lastFailure
 		}
 	}
-	return firstOf(messages)
+	return firstMessage(messages)
 }
 
-// begin gives an order on a goroutine of its own.
-func (r *Reconciler) begin(ctx context.Context, a Action) {
+// startOrder sends an order on a new goroutine.
+func (r *Reconciler) startOrder(ctx context.Context, a Action) {
 	if r.cfg.Lease.Check() != nil {
 		return
 	}
@@ -289,12 +293,12 @@
 	}
 	e.running = &a
 	r.mu.Unlock()
-	r.begun.Inc(1)
+	r.ordersBegun.Inc(1)
 	r.orders.Go(func() {
 		ctx, cancel := context.WithTimeout(ctx, r.cfg.Options.OrderTimeout)
 		defer cancel()
 		out, err := r.cfg.OrderClient.Order(ctx, a.Address, a.message(r.cfg.Lease.Name(), r.cfg.Lease.Fence()))
-		r.end(e, a, out, err)
+		r.finishOrder(e, a, out, err)
 		select {
 		case r.wake <- struct{}{}:
 		default:
@@ -302,40 +306,41 @@
 	})
 }
 
-// end notes how an order ended.
-func (r *Reconciler) end(e *engineOrders, a Action, out *wirepb.OrderResponse, err error) {
+// finishOrder records the result of an order.
+func (r *Reconciler) finishOrder(e *engineOrders, a Action, out *wirepb.OrderResponse, err error) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e.running = nil
 	switch {
 	case err == nil && out.GetDone():
-		r.done.Inc(1)
-		e.recent = append(e.recent, carriedOut{a, now})
-		e.failure, e.backoff = "", 0
+		r.ordersDone.Inc(1)
+		e.completed = append(e.completed, completedOrder{a, now})
+		e.lastFailure, e.backoff = "", 0
 		return
 	case err == nil && out.GetCode() == wirepb.RefuseCode_REFUSE_STALE_FENCE:
-		r.stale.Inc(1)
-		r.lost = true
+		r.ordersStale.Inc(1)
+		r.superseded = true
 		return
 	case err != nil:
-		e.failure = err.Error()
+		e.lastFailure = err.Error()
 	default:
-		e.failure = out.GetDetail()
+		e.lastFailure = out.GetDetail()
 	}
-	r.failed.Inc(1)
+	r.ordersFailed.Inc(1)
 	e.backoff = min(max(2*e.backoff, r.cfg.Options.RetryDelay), r.cfg.Options.MaxRetryDelay)
 	e.retryAt = now.Add(e.backoff)
-	r.cfg.Log.WithField("server", a.Server).WithField("order", a.id()).Debug("order failed: " + e.failure)
+	r.cfg.Log.WithField("server", a.Server).WithField("order", a.id()).Debug("order failed: " + e.lastFailure)
 }
 
-// writeStatus shows a status. Only the news that a later holder has written it is
-// an error: the store may be down, and orders don't wait for it.
+// writeStatus writes a status. It returns an error only if a later holder has
+// written the status. Other errors are logged, since the store may be down and
+// orders don't depend on it.
 func (r *Reconciler) writeStatus(ctx context.Context, now time.Time, next Status) error {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	err := r.status.write(ctx, now.UTC().Round(0), next)
-	if errors.Is(err, errOvertaken) {
+	if errors.Is(err, errSuperseded) {
 		return errors.WithType(err, lease.ErrNotHeld)
 	}
 	if err != nil {
--- a/rollout/replica.go
+++ b/rollout/replica.go
@@ -6,24 +6,24 @@
 	"github.com/briarturn/briarturn/backend"
 )
 
-// Replica is one engine of a pool as it is observed.
+// Replica is the observed state of one engine of a pool.
 type Replica struct {
 	Name    string
 	Zone    string
-	Address string // of its agent, ip:port
+	Address string // address of its agent, ip:port
 	Role    backend.Role
-	Weights []backend.Weights // loaded, in no order
-	Serving []string          // of these, what takes new requests
-	Loading string            // model or adapter that it loads now; empty for none
-	// Unresponsive engines keep their place and get no orders.
+	Weights []backend.Weights // loaded weights, in no particular order
+	Serving []string          // names of loaded weights that accept new requests
+	Loading string            // model or adapter that is being loaded, or empty
+	// Unresponsive engines keep their assignment but get no orders.
 	Unresponsive bool
-	// Busy engines get no order now: one is under way, or the last one failed
-	// a moment ago.
+	// Busy engines get no new order: one is in progress, or the last one failed and
+	// its retry delay has not passed.
 	Busy bool
 }
 
-// ReplicaFromRow returns what an entry's row shows; ok is false for a server that is
-// no engine, is leaving or is dead.
+// ReplicaFromRow converts a row of an entry's table. ok is false for a server that
+// is not an engine, is draining or leaving, or is dead.
 func ReplicaFromRow(row *backend.Row) (r Replica, ok bool) {
 	if row.Service || row.Load.Draining || row.State == backend.StateLeaving || row.State == backend.StateDead {
 		return Replica{}, false
@@ -40,7 +40,7 @@
 	}, true
 }
 
-func (r *Replica) loaded(name string) (backend.Weights, bool) {
+func (r *Replica) findWeights(name string) (backend.Weights, bool) {
 	i := slices.IndexFunc(r.Weights, func(w backend.Weights) bool { return w.Name == name })
 	if i < 0 {
 		return backend.Weights{}, false
@@ -50,13 +50,13 @@
 
 func (r *Replica) serves(name string) bool { return slices.Contains(r.Serving, name) }
 
-// current reports whether the engine serves this version.
-func (r *Replica) current(name, version string) bool {
-	w, ok := r.loaded(name)
+// servesVersion reports whether the engine serves the given version.
+func (r *Replica) servesVersion(name, version string) bool {
+	w, ok := r.findWeights(name)
 	return ok && w.Version == backend.VersionKey(version) && r.serves(name)
 }
 
 func (r *Replica) hasModel(name string) bool {
-	w, ok := r.loaded(name)
+	w, ok := r.findWeights(name)
 	return ok && !w.Adapter
 }
--- a/rollout/status.go
+++ b/rollout/status.go
@@ -14,7 +14,8 @@
 	"github.com/briarturn/briarturn/objectapi"
 )
 
-// KindStatus is the object kind of what the system says of declared objects.
+// KindStatus is the object kind of the status that the system reports for declared
+// objects.
 const KindStatus = "Status"
 
 // StatusName returns the name of a pool's status object.
@@ -22,19 +23,19 @@
 
 // Types of a Condition.
 const (
-	// ConditionDeclared: there is a ModelPool of that name. False where a
-	// BackendServerSet names a pool that isn't there, or not yet.
+	// ConditionDeclared is true if a ModelPool of that name exists. It is false if a
+	// BackendServerSet names a pool that does not exist, or does not exist yet.
 	ConditionDeclared = "Declared"
-	// ConditionPlaced: every replica has an engine.
+	// ConditionPlaced is true if every replica has an engine.
 	ConditionPlaced = "Placed"
-	// ConditionConverged: every engine is as it shall be.
+	// ConditionConverged is true if every engine matches its target.
 	ConditionConverged = "Converged"
-	// ConditionAccepting: the agents carry out orders.
+	// ConditionAccepting is true if the agents carry out orders.
 	ConditionAccepting = "Accepting"
 )
 
-// Condition is one statement on a pool. Since is when Status last changed, by
-// the clock of the process that wrote it.
+// Condition is one aspect of a pool's state. Since is the time of the last change
+// of Status by the clock of the process that wrote it.
 type Condition struct {
 	Type    string    `json:"type"`
 	Status  bool      `json:"status"`
@@ -45,13 +46,13 @@
 
 // Status is the value of a pool's status object.
 type Status struct {
-	ObservedVersion uint64        `json:"observed_version"` // of the ModelPool
-	Fence           uint64        `json:"fence"`            // of the lease of who wrote it
+	ObservedVersion uint64        `json:"observed_version"` // version of the ModelPool
+	Fence           uint64        `json:"fence"`            // fence of the lease under which it was written
 	Conditions      []Condition   `json:"conditions"`
 	Models          []ModelStatus `json:"models,omitempty"`
 }
 
-// conditions says in words what a plan found.
+// conditions describes the result of a plan.
 func conditions(pool *declared.ModelPool, engines int, r *PlanResult, failure string) []Condition {
 	if pool == nil {
 		return []Condition{{Type: ConditionDeclared, Reason: "NotDeclared", Message: "a BackendServerSet names this pool; no ModelPool does"}}
@@ -79,16 +80,16 @@
 	return []Condition{{Type: ConditionDeclared, Status: true, Reason: "InForce"}, placed, converged, accepting}
 }
 
-// lookingConditions is what is said while not all engines are known.
-func lookingConditions() []Condition {
+// incompleteConditions returns the conditions while not all engines are known.
+func incompleteConditions() []Condition {
 	return []Condition{
 		{Type: ConditionDeclared, Status: true, Reason: "InForce"},
 		{Type: ConditionConverged, Reason: "Looking", Message: "not all backend servers have been heard of"},
 	}
 }
 
-// since keeps the time of conditions whose status did not change.
-func since(now time.Time, next, old []Condition) {
+// keepSince keeps the Since time of conditions whose Status did not change.
+func keepSince(now time.Time, next, old []Condition) {
 	for i := range next {
 		next[i].Since = now
 		j := slices.IndexFunc(old, func(c Condition) bool { return c.Type == next[i].Type })
@@ -98,40 +99,42 @@
 	}
 }
 
-// same tells whether two statuses say the same. Who wrote them doesn't matter.
-func same(a, b *Status) bool {
+// sameStatus compares two statuses, regardless of the lease under which they were
+// written.
+func sameStatus(a, b *Status) bool {
 	return a.ObservedVersion == b.ObservedVersion && slices.Equal(a.Conditions, b.Conditions) && slices.Equal(a.Models, b.Models)
 }
 
-// errOvertaken: a later holder of the lease has written the status.
-const errOvertaken = errors.ConstError("status written under a later lease")
+// errSuperseded means that a later holder of the lease has written the status.
+const errSuperseded = errors.ConstError("status written under a later lease")
 
-// statusWriter keeps a pool's status object. One goroutine uses it.
+// statusWriter writes the status object of a pool. It must be used by one goroutine
+// only.
 type statusWriter struct {
 	store objectapi.Store
 	name  string
 	fence uint64
 
-	known   bool   // the fields below are what the store has
-	version uint64 // of the object; 0: there is none
-	written Status
+	synced      bool   // the fields below match the store
+	version     uint64 // version of the object; 0 if it does not exist
+	lastWritten Status
 }
 
-// write brings the object to next if that says anything new. After an error the
-// object is read again first: whether a write whose answer was lost took effect
-// shows by its value.
+// write updates the object to next if it differs. After an error the object is
+// read again before the next write, since its value shows whether a write whose
+// response was lost took effect.
 func (w *statusWriter) write(ctx context.Context, now time.Time, next Status) error {
-	if !w.known {
+	if !w.synced {
 		if err := w.read(ctx); err != nil {
 			return errors.Annotatef(err, "step read status, object %s", w.name)
 		}
 	}
-	if w.written.Fence > w.fence {
-		return errors.Annotatef(errOvertaken, "object %s: fence %d after %d", w.name, w.fence, w.written.Fence)
+	if w.lastWritten.Fence > w.fence {
+		return errors.Annotatef(errSuperseded, "object %s: fence %d after %d", w.name, w.fence, w.lastWritten.Fence)
 	}
 	next.Fence = w.fence
-	since(now, next.Conditions, w.written.Conditions)
-	if w.version > 0 && same(&w.written, &next) {
+	keepSince(now, next.Conditions, w.lastWritten.Conditions)
+	if w.version > 0 && sameStatus(&w.lastWritten, &next) {
 		return nil
 	}
 	return errors.Annotatef(w.put(ctx, next), "step write status, object %s", w.name)
@@ -140,16 +143,16 @@
 func (w *statusWriter) read(ctx context.Context) error {
 	o, err := w.store.Get(ctx, KindStatus, w.name)
 	if errors.Is(err, objectapi.ErrNotFound) {
-		w.known, w.version, w.written = true, 0, Status{}
+		w.synced, w.version, w.lastWritten = true, 0, Status{}
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	w.written = Status{}
-	// What can't be read is replaced.
-	_ = json.Unmarshal(o.Data, &w.written)
-	w.known, w.version = true, o.Version
+	w.lastWritten = Status{}
+	// A value that can't be decoded is replaced.
+	_ = json.Unmarshal(o.Data, &w.lastWritten)
+	w.synced, w.version = true, o.Version
 	return nil
 }
 
@@ -165,19 +168,19 @@
 		o, err = w.store.Update(ctx, KindStatus, w.name, data, w.version)
 	}
 	if err != nil {
-		w.known = false
+		w.synced = false
 		return err
 	}
-	// The times as the store has them, without a monotonic part.
-	w.written = Status{}
-	_ = json.Unmarshal(data, &w.written)
+	// Decoding gives the times as stored, without the monotonic clock reading.
+	w.lastWritten = Status{}
+	_ = json.Unmarshal(data, &w.lastWritten)
 	w.version = o.Version
 	return nil
 }
 
-// firstOf returns the alphabetically first of some messages, so that a status
-// doesn't change with the order of failures.
-func firstOf(messages map[string]string) string {
+// firstMessage returns the alphabetically first message with its server, so that the
+// status does not change with the order of failures.
+func firstMessage(messages map[string]string) string {
 	first := ""
 	for server, m := range messages {
 		if text := server + ": " + m; first == "" || cmp.Less(text, first) {
