--- a/config/config_test.go
+++ b/config/config_test.go
@@ -36,10 +36,9 @@
 	}
 }
 
-// Symptom: a file with several mistakes is mended one mistake a run.
-// Sequence: unknown, doubled, mistyped and out-of-range values in one file.
-// Cause: a decoder that stops at the first fault.
-func TestDecodeFindsEveryFault(t *testing.T) {
+// Decode must not stop at the first error: unknown, duplicate, mistyped and
+// out-of-range values in one file must all be reported.
+func TestDecodeReportsAllErrors(t *testing.T) {
 	const file = `{
 		"count": "two", "address": "host:80", "Hidden": "x", "colour": 1, "colour": 2,
 		"items": [{"name": "a", "wait": "2s"}, {"name": "a", "wait": 3}, {"nam": "b", "wait": "2h"}],
@@ -69,7 +68,7 @@
 	}
 }
 
-func TestDecodeBrokenJSON(t *testing.T) {
+func TestDecodeMalformedJSON(t *testing.T) {
 	for _, file := range []string{``, `[]`, `{`, `{"count":1`, `{"count":1} {}`, `{"count":}`, `{count:1}`} {
 		if err := Decode([]byte(file), &outer{Count: 1}); !errors.Is(err, ErrInvalid) {
 			t.Errorf("%q: error %v", file, err)
--- a/config/decode.go
+++ b/config/decode.go
@@ -12,28 +12,28 @@
 	"github.com/juju/errors"
 )
 
-// Decode reads one JSON value into the struct that into points to and checks
-// it by its validate tags. What JSON leaves out keeps its value, so defaults
-// are set before. The error is a Faults, or nil.
+// Decode reads one JSON object into the struct that into points to and validates it.
+// A field that is missing from the JSON keeps its value, so the caller sets
+// defaults before the call. The error is a FieldErrors, or nil.
 func Decode(data []byte, into any) error {
-	faults := decodeInto(data, reflect.ValueOf(into).Elem(), "")
-	if len(faults) == 0 {
+	errs := decodeInto(data, reflect.ValueOf(into).Elem(), "")
+	if len(errs) == 0 {
 		return Validate(into)
 	}
-	// The rules are checked as well, for the values that could be read.
+	// The values that could be decoded are validated as well.
 	unread := map[string]bool{}
-	for _, f := range faults {
+	for _, f := range errs {
 		unread[f.Path] = true
 	}
 	for _, f := range FieldErrorsOf(Validate(into)) {
 		if !unread[f.Path] {
-			faults = append(faults, f)
+			errs = append(errs, f)
 		}
 	}
-	return faults.err()
+	return errs.errOrNil()
 }
 
-// decodeInto reads raw into v and goes on after a fault.
+// decodeInto decodes raw into v. It continues after an error.
 func decodeInto(raw json.RawMessage, v reflect.Value, path string) FieldErrors {
 	if bytes.Equal(bytes.TrimSpace(raw), []byte("null")) {
 		return nil
@@ -52,12 +52,12 @@
 		}
 	}
 	if err := json.Unmarshal(raw, v.Addr().Interface()); err != nil {
-		return FieldErrors{{path, plain(err)}}
+		return FieldErrors{{path, describeJSONError(err)}}
 	}
 	return nil
 }
 
-// isLeaf reports whether encoding/json reads the value in one go.
+// isLeaf reports whether v is decoded by its own unmarshaler instead of field by field.
 func isLeaf(v reflect.Value) bool {
 	switch v.Addr().Interface().(type) {
 	case json.Unmarshaler, encoding.TextUnmarshaler:
@@ -67,30 +67,30 @@
 }
 
 func decodeStruct(raw json.RawMessage, v reflect.Value, path string) FieldErrors {
-	members, faults := readMembers(raw, path)
-	fields := fieldsOf(v.Type())
+	members, errs := readMembers(raw, path)
+	fields := fieldIndexes(v.Type())
 	for _, m := range members {
-		at := join(path, m.key)
+		at := joinPath(path, m.key)
 		if i, ok := fields[m.key]; ok {
-			faults = append(faults, decodeInto(m.value, v.Field(i), at)...)
+			errs = append(errs, decodeInto(m.value, v.Field(i), at)...)
 		} else {
-			faults = append(faults, FieldError{at, "unknown key"})
+			errs = append(errs, FieldError{at, "unknown key"})
 		}
 	}
-	return faults
+	return errs
 }
 
 func decodeSlice(raw json.RawMessage, v reflect.Value, path string) FieldErrors {
 	var items []json.RawMessage
 	if err := json.Unmarshal(raw, &items); err != nil {
-		return FieldErrors{{path, plain(err)}}
+		return FieldErrors{{path, describeJSONError(err)}}
 	}
-	var faults FieldErrors
+	var errs FieldErrors
 	v.Set(reflect.MakeSlice(v.Type(), len(items), len(items)))
 	for i, item := range items {
-		faults = append(faults, decodeInto(item, v.Index(i), fmt.Sprintf("%s[%d]", path, i))...)
+		errs = append(errs, decodeInto(item, v.Index(i), fmt.Sprintf("%s[%d]", path, i))...)
 	}
-	return faults
+	return errs
 }
 
 type member struct {
@@ -98,56 +98,57 @@
 	value json.RawMessage
 }
 
-// readMembers splits a JSON object. Of a doubled key the first value counts
-// and the second is a fault: encoding/json would silently take the last.
+// readMembers splits a JSON object into its members. For a duplicate key it keeps the
+// first value and reports an error. encoding/json would silently take the last.
 func readMembers(raw json.RawMessage, path string) ([]member, FieldErrors) {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	open, err := d.Token()
 	if err != nil {
-		return nil, FieldErrors{{path, plain(err)}}
+		return nil, FieldErrors{{path, describeJSONError(err)}}
 	}
 	if open != json.Delim('{') {
 		return nil, FieldErrors{{path, "must be an object"}}
 	}
 	var members []member
-	var faults FieldErrors
+	var errs FieldErrors
 	seen := map[string]bool{}
 	for d.More() {
 		key, err := d.Token()
 		if err != nil {
-			return members, append(faults, FieldError{path, plain(err)})
+			return members, append(errs, FieldError{path, describeJSONError(err)})
 		}
 		m := member{key: key.(string)}
 		if err := d.Decode(&m.value); err != nil {
-			return members, append(faults, FieldError{join(path, m.key), plain(err)})
+			return members, append(errs, FieldError{joinPath(path, m.key), describeJSONError(err)})
 		}
 		if seen[m.key] {
-			faults = append(faults, FieldError{join(path, m.key), "key given twice"})
+			errs = append(errs, FieldError{joinPath(path, m.key), "key given twice"})
 			continue
 		}
 		seen[m.key] = true
 		members = append(members, m)
 	}
 	if _, err := d.Token(); err != nil {
-		faults = append(faults, FieldError{path, plain(err)})
+		errs = append(errs, FieldError{path, describeJSONError(err)})
 	} else if _, err := d.Token(); err != io.EOF {
-		faults = append(faults, FieldError{path, "something follows the JSON value"})
+		errs = append(errs, FieldError{path, "something follows the JSON value"})
 	}
-	return members, faults
+	return members, errs
 }
 
-// fieldsOf returns the index of each field by its JSON key.
-func fieldsOf(t reflect.Type) map[string]int {
+// fieldIndexes returns the index of each field by its JSON key.
+func fieldIndexes(t reflect.Type) map[string]int {
 	out := map[string]int{}
 	for i := range t.NumField() {
-		if key := keyOf(t.Field(i)); key != "" {
+		if key := jsonKey(t.Field(i)); key != "" {
 			out[key] = i
 		}
 	}
 	return out
 }
 
-func keyOf(f reflect.StructField) string {
+// jsonKey returns the JSON key of a field, or "" if the field is not encoded.
+func jsonKey(f reflect.StructField) string {
 	key, _, _ := strings.Cut(f.Tag.Get("json"), ",")
 	if key == "-" {
 		return ""
@@ -155,8 +156,8 @@
 	return key
 }
 
-// plain words a JSON error without the Go types in it.
-func plain(err error) string {
+// describeJSONError describes a JSON error without naming Go types.
+func describeJSONError(err error) string {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
 		return fmt.Sprintf("must be %s, not a %s", typeName(wrongType.Type), wrongType.Value)
--- a/config/distinct.go
+++ b/config/distinct.go
@@ -5,49 +5,49 @@
 	"reflect"
 )
 
-// distinctTag is the struct tag of a list whose items must differ: by the
-// named field, or as a whole if it is ".". The validator's own unique rule
-// would stop it from looking at the items, and hide their faults.
+// distinctTag is the struct tag of a list whose items must differ in the named field,
+// or as a whole if it is ".". The validator's unique rule is not used, because it
+// would skip the validation of the items and hide their errors.
 const distinctTag = "distinct"
 
-// findDoubled reports the items of v's lists that repeat an earlier one.
-func findDoubled(v reflect.Value, path string) FieldErrors {
+// findDuplicates reports the items of lists in v that repeat an earlier item.
+func findDuplicates(v reflect.Value, path string) FieldErrors {
 	switch v.Kind() {
 	case reflect.Pointer:
 		if !v.IsNil() {
-			return findDoubled(v.Elem(), path)
+			return findDuplicates(v.Elem(), path)
 		}
 	case reflect.Struct:
-		return findDoubledInFields(v, path)
+		return findDuplicatesInFields(v, path)
 	case reflect.Slice:
-		var faults FieldErrors
+		var errs FieldErrors
 		for i := range v.Len() {
-			faults = append(faults, findDoubled(v.Index(i), fmt.Sprintf("%s[%d]", path, i))...)
+			errs = append(errs, findDuplicates(v.Index(i), fmt.Sprintf("%s[%d]", path, i))...)
 		}
-		return faults
+		return errs
 	}
 	return nil
 }
 
-func findDoubledInFields(v reflect.Value, path string) FieldErrors {
-	var faults FieldErrors
+func findDuplicatesInFields(v reflect.Value, path string) FieldErrors {
+	var errs FieldErrors
 	for i := range v.NumField() {
 		field := v.Type().Field(i)
-		key := keyOf(field)
+		key := jsonKey(field)
 		if key == "" || !field.IsExported() {
 			continue
 		}
-		at := join(path, key)
+		at := joinPath(path, key)
 		if by, ok := field.Tag.Lookup(distinctTag); ok {
-			faults = append(faults, doubledItems(v.Field(i), by, at)...)
+			errs = append(errs, duplicateItems(v.Field(i), by, at)...)
 		}
-		faults = append(faults, findDoubled(v.Field(i), at)...)
+		errs = append(errs, findDuplicates(v.Field(i), at)...)
 	}
-	return faults
+	return errs
 }
 
-func doubledItems(list reflect.Value, by, path string) FieldErrors {
-	var faults FieldErrors
+func duplicateItems(list reflect.Value, by, path string) FieldErrors {
+	var errs FieldErrors
 	first := map[any]int{}
 	for i := range list.Len() {
 		item := list.Index(i)
@@ -55,10 +55,10 @@
 			item = item.FieldByName(by)
 		}
 		if j, ok := first[item.Interface()]; ok {
-			faults = append(faults, FieldError{fmt.Sprintf("%s[%d]", path, i), fmt.Sprintf("repeats %s[%d]", path, j)})
+			errs = append(errs, FieldError{fmt.Sprintf("%s[%d]", path, i), fmt.Sprintf("repeats %s[%d]", path, j)})
 			continue
 		}
 		first[item.Interface()] = i
 	}
-	return faults
+	return errs
 }
--- a/config/doc.go
+++ b/config/doc.go
@@ -1,7 +1,7 @@
-// Package config decodes and checks JSON that people write: settings files and
-// declared objects. Every fault is found in one pass and named by its path in
-// the JSON, so that a file with five mistakes takes one round to mend, not five.
+// Package config decodes and validates JSON that people write: settings files and
+// declared objects. All errors are found in one pass and reported with their path
+// in the JSON, so that a file with five mistakes can be corrected at once.
 //
-// Rules: keys are matched exactly; an unknown or doubled key is a fault; the
-// rules of values are validate tags of go-playground/validator.
+// Rules: keys are case-sensitive; unknown and duplicate keys are errors; values are
+// checked by validate tags of go-playground/validator.
 package config
--- a/config/duration.go
+++ b/config/duration.go
@@ -6,13 +6,13 @@
 	"github.com/juju/errors"
 )
 
-// Duration is a time.Duration that JSON holds as text such as "1.5s" or "2m".
+// Duration is a time.Duration that JSON encodes as a string such as "1.5s" or "2m".
 type Duration time.Duration
 
-// D returns the time.Duration.
+// D converts d to a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// String returns the text form.
+// String formats d like a time.Duration.
 func (d Duration) String() string { return time.Duration(d).String() }
 
 // MarshalText implements encoding.TextMarshaler.
--- a/config/field_error.go
+++ b/config/field_error.go
@@ -7,16 +7,16 @@
 	"github.com/juju/errors"
 )
 
-// ErrInvalid is what every Faults error is. Test with errors.Is.
-const ErrInvalid = errors.ConstError("faults in JSON")
+// ErrInvalid matches every FieldErrors with errors.Is.
+const ErrInvalid = errors.ConstError("invalid JSON values")
 
-// FieldError is one thing wrong at one place.
+// FieldError is one error in a JSON value.
 type FieldError struct {
-	Path    string `json:"path"` // as models[0].name; empty for the whole
+	Path    string `json:"path"` // such as models[0].name; empty for the whole value
 	Message string `json:"message"`
 }
 
-// String returns the fault as one line.
+// String returns the path and the message on one line.
 func (f FieldError) String() string {
 	if f.Path == "" {
 		return f.Message
@@ -24,10 +24,10 @@
 	return f.Path + ": " + f.Message
 }
 
-// FieldErrors is the error that lists all that is wrong, by path.
+// FieldErrors is the error that lists all errors in a JSON value, sorted by path.
 type FieldErrors []FieldError
 
-// Error implements error, one fault a line.
+// Error implements error, with one line per FieldError.
 func (fs FieldErrors) Error() string {
 	lines := make([]string, len(fs))
 	for i, f := range fs {
@@ -39,7 +39,7 @@
 // Is makes errors.Is(err, ErrInvalid) true.
 func (fs FieldErrors) Is(target error) bool { return target == ErrInvalid }
 
-// FieldErrorsOf returns the faults that err carries, nil if it carries none.
+// FieldErrorsOf returns the FieldErrors in the chain of err, or nil if there are none.
 func FieldErrorsOf(err error) FieldErrors {
 	var fs FieldErrors
 	if errors.As(err, &fs) {
@@ -48,17 +48,18 @@
 	return nil
 }
 
-// WithPrefix returns the faults with their paths put under prefix.
+// WithPrefix returns the errors with prefix put before their paths.
 func (fs FieldErrors) WithPrefix(prefix string) FieldErrors {
 	out := make(FieldErrors, len(fs))
 	for i, f := range fs {
-		out[i] = FieldError{Path: join(prefix, f.Path), Message: f.Message}
+		out[i] = FieldError{Path: joinPath(prefix, f.Path), Message: f.Message}
 	}
 	return out
 }
 
-// err returns nil for no faults, so that a nil error stays nil.
-func (fs FieldErrors) err() error {
+// errOrNil returns fs sorted by path, or a nil error if fs is empty. Converting an
+// empty FieldErrors to error would give a non-nil error.
+func (fs FieldErrors) errOrNil() error {
 	if len(fs) == 0 {
 		return nil
 	}
@@ -66,7 +67,8 @@
 	return fs
 }
 
-func join(prefix, path string) string {
+// joinPath joins two parts of a path. List indexes such as [0] follow without a dot.
+func joinPath(prefix, path string) string {
 	switch {
 	case prefix == "":
 		return path
--- a/config/validate.go
+++ b/config/validate.go
@@ -12,22 +12,23 @@
 	"github.com/juju/errors"
 )
 
-// Tags that this package adds to those of the validator (see also distinctTag):
+// Validate tags that this package adds to those of the validator (see also
+// distinctTag):
 //
-//	name       a name of an object, VM, zone and the like
-//	addrport   IP:PORT, as 10.0.0.7:8080 or [::1]:8080
+//	name       name of an object, VM, zone and so on
+//	addrport   IP:PORT, such as 10.0.0.7:8080 or [::1]:8080
 
-// tagMessage marks a fault whose param is its whole text.
+// tagMessage is the tag of an error whose parameter is the complete message.
 const tagMessage = "message"
 
-// namePattern keeps names safe in URLs, metrics and logs.
+// namePattern allows only names that are safe in URLs, metrics and logs.
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9._-]{0,126}[a-z0-9])?$`)
 
-var rules = newRules()
+var structValidator = newStructValidator()
 
-func newRules() *validator.Validate {
+func newStructValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
-	v.RegisterTagNameFunc(keyOf)
+	v.RegisterTagNameFunc(jsonKey)
 	v.RegisterCustomTypeFunc(func(f reflect.Value) any {
 		return time.Duration(f.Int())
 	}, Duration(0))
@@ -38,55 +39,59 @@
 
 func mustRegister(v *validator.Validate, tag string, rule validator.Func) {
 	if err := v.RegisterValidation(tag, rule); err != nil {
-		panic(err) // only for an empty or reserved tag
+		panic(err) // the tag is empty or reserved
 	}
 }
 
-// RegisterTagValidation adds a validate tag. Call it from package initialisation only.
-func RegisterTagValidation(tag string, rule validator.Func) { mustRegister(rules, tag, rule) }
+// RegisterTagValidation adds a validate tag. It must only be called during package
+// initialization.
+func RegisterTagValidation(tag string, rule validator.Func) { mustRegister(structValidator, tag, rule) }
 
-// ReportError adds a fault of a struct rule. field is the Go name, key the JSON key.
+// ReportError reports an error from a struct validation. field is the Go name and key
+// the JSON key of the field.
 func ReportError(sl validator.StructLevel, value any, key, field, message string) {
 	sl.ReportError(value, key, field, tagMessage, message)
 }
 
-// RegisterStructValidation adds a rule over several fields of the types. Call it from
-// package initialisation only. The rule reports with Report.
+// RegisterStructValidation adds a validation of several fields of the given types,
+// which reports errors with ReportError. It must only be called during package
+// initialization.
 func RegisterStructValidation(rule validator.StructLevelFunc, types ...any) {
-	rules.RegisterStructValidation(rule, types...)
+	structValidator.RegisterStructValidation(rule, types...)
 }
 
-// IsName reports whether s may name an object.
+// IsName reports whether s is a valid name of an object.
 func IsName(s string) bool { return namePattern.MatchString(s) }
 
-// IsAddrPort reports whether s is IP:PORT.
+// IsAddrPort reports whether s has the form IP:PORT.
 func IsAddrPort(s string) bool {
 	_, err := netip.ParseAddrPort(s)
 	return err == nil
 }
 
-// Validate checks a struct by its validate and distinct tags. The error is a
-// Faults, or nil.
+// Validate checks a struct by its validate and distinct tags and its struct
+// validations. The error is a FieldErrors, or nil.
 func Validate(v any) error {
-	err := rules.Struct(v)
+	err := structValidator.Struct(v)
 	var found validator.ValidationErrors
 	if err != nil && !errors.As(err, &found) {
 		return errors.Trace(err)
 	}
-	faults := findDoubled(reflect.ValueOf(v), "")
+	errs := findDuplicates(reflect.ValueOf(v), "")
 	for _, f := range found {
-		faults = append(faults, FieldError{pathOf(f), messageOf(f)})
+		errs = append(errs, FieldError{fieldPath(f), fieldMessage(f)})
 	}
-	return faults.err()
+	return errs.errOrNil()
 }
 
-// pathOf drops the name of the Go type that the namespace begins with.
-func pathOf(f validator.FieldError) string {
+// fieldPath returns the path of an error without the Go type name at its start.
+func fieldPath(f validator.FieldError) string {
 	_, path, _ := strings.Cut(f.Namespace(), ".")
 	return path
 }
 
-func messageOf(f validator.FieldError) string {
+// fieldMessage describes a validation error.
+func fieldMessage(f validator.FieldError) string {
 	switch f.Tag() {
 	case tagMessage:
 		return f.Param()
@@ -101,9 +106,9 @@
 	case "oneof":
 		return fmt.Sprintf("%q is none of %s", f.Value(), strings.ReplaceAll(f.Param(), " ", ", "))
 	case "min", "gte":
-		return "must be at least " + f.Param() + countOf(f)
+		return "must be at least " + f.Param() + countUnit(f)
 	case "max", "lte":
-		return "must be at most " + f.Param() + countOf(f)
+		return "must be at most " + f.Param() + countUnit(f)
 	case "gt":
 		return "must be more than " + f.Param()
 	case "lt":
@@ -112,7 +117,8 @@
 	return strings.TrimSpace(f.Tag() + " " + f.Param())
 }
 
-func countOf(f validator.FieldError) string {
+// countUnit returns the unit of a limit on the length of a list, map or string.
+func countUnit(f validator.FieldError) string {
 	switch f.Kind() {
 	case reflect.Slice, reflect.Map:
 		return " in number"
