--- a/settings/defaults.go
+++ b/settings/defaults.go
@@ -21,7 +21,8 @@
 
 // Defaults of an entry.
 const (
-	// DefaultMaxBodyBytes takes a million tokens of four bytes, four times over.
+	// DefaultMaxBodyBytes is four times the size of a million tokens of four
+	// bytes each.
 	DefaultMaxBodyBytes         = 16 << 20
 	DefaultMaxHeaderBytes       = 64 << 10
 	DefaultMaxPromptTokens      = 1_200_000
@@ -55,11 +56,11 @@
 	DefaultRetryRatio   = 0.2
 	DefaultRetrySlack   = 100
 	DefaultRetryWindow  = 10 * time.Second
-	// DefaultRoutineLines is over four times the requests of a gateway, 11 a second;
-	// at 400 bytes a line it bounds them to 20 kB/s.
+	// DefaultRoutineLines is more than four times the request rate of a gateway,
+	// 11 requests/s. At 400 bytes a line it limits these lines to 20 kB/s.
 	DefaultRoutineLines = 50
-	// A caller's connection: the limits are over what operators allow callers, so that
-	// no proper caller is cut.
+	// Limits of a caller's connection. They are higher than what operators allow
+	// callers, so that no caller within these limits is disconnected.
 	DefaultGatewayHeaderBytes   = 64 << 10
 	DefaultGatewayHeaderTimeout = 10 * time.Second
 	DefaultGatewayIdleTimeout   = 2 * time.Minute
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -2,37 +2,41 @@
 
 import "github.com/briarturn/briarturn/config"
 
-// Gateway is the settings of an entry that serves routed requests. The figures
-// are those that its operators run the platform by.
+// Gateway holds the settings of a gateway, which serves routed requests. The values
+// are those with which the operators run the platform.
 type Gateway struct {
-	// Grace is how long after SIGTERM the platform kills the process.
+	// Grace is the time from SIGTERM until the platform kills the process.
 	Grace config.Duration `json:"grace" validate:"min=1s,max=24h"`
-	// Retries of all entries together, a service and a window: RetryRatio of its
-	// requests and RetrySlack more.
+	// Limit on the retries of all gateways together, for each service and window:
+	// RetryRatio of the service's requests in the window, plus RetrySlack.
 	RetryRatio  float64         `json:"retry_ratio" validate:"gte=0,lte=1"`
 	RetrySlack  float64         `json:"retry_slack" validate:"gte=0,lte=1000000"`
 	RetryWindow config.Duration `json:"retry_window" validate:"min=1s,max=1h"`
-	// LinkMbps is the VM's own link in megabits a second, 0 if not known. Of the entries
-	// of a zone one on a fast link reads the object API for the others.
+	// LinkMbps is the speed of the VM's network link in megabits per second, or 0 if it
+	// is unknown. Among the gateways of a zone, one with a fast link reads the object
+	// API for the others.
 	LinkMbps float64 `json:"link_mbps" validate:"gte=0,lte=1000000"`
-	// Regions are those of the availability zones, by name. A server of a zone that is not
-	// named has no known region: requests that are bound to regions don't go there.
+	// Regions maps names of availability zones to their regions. A server in a zone that
+	// is not listed has no known region and gets no requests that are restricted to
+	// regions.
 	Regions map[string]string `json:"regions,omitempty" validate:"dive,keys,name,endkeys,name"`
-	// FirstStart is set where the whole fleet starts for the first time, before callers
-	// come: a few entries then read the object API for all.
+	// FirstStart is set when the whole fleet starts for the first time, before there are
+	// callers. A few gateways then read the object API for all.
 	FirstStart bool `json:"first_start"`
-	// EvacuateWithin is how long after an operator has evacuated an availability zone nothing
-	// new may go to its servers any more; 0 where operators don't.
+	// EvacuateWithin is the maximum time after an operator evacuates an availability
+	// zone until no new requests are sent to its servers. It is 0 if operators don't
+	// evacuate zones.
 	EvacuateWithin config.Duration `json:"evacuate_within" validate:"min=0s,max=1h"`
-	// RoutineLines bounds the log lines a second of requests that went well; the
-	// others are always written.
+	// RoutineLines is the maximum number of log lines per second for successful
+	// requests. Lines for other requests are always written.
 	RoutineLines float64 `json:"routine_lines" validate:"gte=1,lte=100000"`
-	// Placement is the policy by which servers are chosen (placement.Policy).
+	// Placement is the policy that selects servers (placement.Policy).
 	Placement string        `json:"placement" validate:"oneof=least_loss least_requests"`
 	Limits    GatewayLimits `json:"limits"`
 }
 
-// GatewayLimits bound requests and connections. gateway.Options says what each is for.
+// GatewayLimits limits requests and connections. The fields are described at
+// gateway.Options.
 type GatewayLimits struct {
 	KeyAge           config.Duration `json:"key_age" validate:"min=100ms,max=1h"`
 	BodiesBytes      int64           `json:"bodies_bytes" validate:"gte=1048576"`
@@ -44,7 +48,8 @@
 	RetryAfter       config.Duration `json:"retry_after" validate:"min=10ms,max=1m"`
 	StaleRetryAfter  config.Duration `json:"stale_retry_after" validate:"min=10ms,max=1m"`
 	PoisonRetryAfter config.Duration `json:"poison_retry_after" validate:"min=1s,max=1h"`
-	// DeclaredRetryAfter is that of a request which operators have left no server.
+	// DeclaredRetryAfter is the retry delay of a request for which operators have left
+	// no server.
 	DeclaredRetryAfter config.Duration `json:"declared_retry_after" validate:"min=10ms,max=1h"`
 	ConnectTries       int             `json:"connect_tries" validate:"gte=1,lte=100"`
 	MemoryWait         config.Duration `json:"memory_wait" validate:"min=1ms,max=1m"`
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -10,7 +10,7 @@
 	"github.com/briarturn/briarturn/config"
 )
 
-// Role is what a process does.
+// Role is the role of a process.
 type Role string
 
 // Roles of a process.
@@ -21,10 +21,10 @@
 	RoleGateway Role = "gateway"
 )
 
-// Settings is the whole settings file of one process.
+// Settings is the settings file of one process.
 type Settings struct {
 	Role     Role      `json:"role" validate:"required,oneof=entry agent gateway"`
-	Name     string    `json:"name" validate:"required,name"` // the VM's name
+	Name     string    `json:"name" validate:"required,name"` // name of the VM
 	Zone     string    `json:"zone" validate:"required,name"`
 	Region   string    `json:"region" validate:"required,name"`
 	Listen   Listen    `json:"listen"`
@@ -35,17 +35,17 @@
 	Gateway  *Gateway  `json:"gateway,omitempty"` // with role gateway only
 }
 
-// Listen is the addresses that the process listens on, and by which others
-// reach it, all IP:PORT.
+// Listen holds the addresses on which the process listens and at which other
+// processes reach it, all IP:PORT.
 type Listen struct {
-	HTTP     string `json:"http,omitempty" validate:"omitempty,addrport"`  // callers; not of an agent
-	Ready    string `json:"ready,omitempty" validate:"omitempty,addrport"` // the balancer's question; gateway only
-	RPC      string `json:"rpc,omitempty" validate:"omitempty,addrport"`   // may be left out for a gateway
+	HTTP     string `json:"http,omitempty" validate:"omitempty,addrport"`  // for callers; not for an agent
+	Ready    string `json:"ready,omitempty" validate:"omitempty,addrport"` // readiness checks of the load balancer; gateway only
+	RPC      string `json:"rpc,omitempty" validate:"omitempty,addrport"`   // optional for a gateway
 	Datagram string `json:"datagram" validate:"required,addrport"`
 	Admin    string `json:"admin" validate:"required,addrport"` // metrics, health, readiness
 }
 
-// ObjectAPI says how the process calls the platform's object API.
+// ObjectAPI configures the process's calls to the object API of the platform.
 type ObjectAPI struct {
 	Address         string          `json:"address" validate:"required,http_url"`
 	CallTimeout     config.Duration `json:"call_timeout" validate:"min=10ms,max=1m"`
@@ -53,14 +53,14 @@
 	WritesPerSecond float64         `json:"writes_per_second" validate:"gt=0,lte=10000"`
 }
 
-// Log is what is logged and how.
+// Log configures logging.
 type Log struct {
 	Level  string `json:"level" validate:"oneof=error warning info debug"`
 	Format string `json:"format" validate:"oneof=json text"`
 }
 
-// Load reads and checks a settings file. For bad contents the error lists every
-// fault (config.FieldErrorsOf).
+// Load reads and validates a settings file. If the contents are invalid, the error
+// lists all errors (config.FieldErrorsOf).
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return s, errors.Annotatef(err, "step read settings of %s", path)
 }
 
-// Parse is Load for contents at hand.
+// Parse is like Load for the contents of a file.
 func Parse(data []byte) (*Settings, error) {
 	s := withDefaults(peekRole(data))
 	if err := config.Decode(data, s); err != nil {
@@ -79,8 +79,8 @@
 	return s, nil
 }
 
-// peekRole finds the role, whose section gets defaults; Decode reports what is
-// wrong with it.
+// peekRole returns the role, which determines the section that gets defaults. It
+// ignores errors, since Decode reports them.
 func peekRole(data []byte) Role {
 	var head struct {
 		Role Role `json:"role"`
@@ -98,7 +98,7 @@
 		config.ReportError(sl, s.Gateway, "gateway", "Gateway", "is for role gateway only")
 	}
 	if s.Role == RoleEntry && s.Listen.HTTP == "" {
-		config.ReportError(sl, s.Listen.HTTP, "listen.http", "Listen", "is required of an entry")
+		config.ReportError(sl, s.Listen.HTTP, "listen.http", "Listen", "is required for role entry")
 	}
 	if s.Role != RoleEntry && s.Entry != nil {
 		config.ReportError(sl, s.Entry, "entry", "Entry", "is for role entry only")
@@ -107,22 +107,22 @@
 		config.ReportError(sl, s.Agent, "agent", "Agent", "is for role agent only")
 	}
 	if s.Role == RoleAgent && s.Listen.HTTP != "" {
-		config.ReportError(sl, s.Listen.HTTP, "listen.http", "Listen", "is for an entry only")
+		config.ReportError(sl, s.Listen.HTTP, "listen.http", "Listen", "is for role entry only")
 	}
 }
 
-// checkListen wants the addresses that a role needs.
+// checkListen checks that the addresses for the role are set.
 func checkListen(sl validator.StructLevel, s Settings) {
 	if s.Role != RoleGateway && s.Listen.RPC == "" {
 		config.ReportError(sl, s.Listen.RPC, "listen.rpc", "Listen", "is required")
 	}
 	if s.Role != RoleGateway && s.Listen.Ready != "" {
-		config.ReportError(sl, s.Listen.Ready, "listen.ready", "Listen", "is for a gateway only")
+		config.ReportError(sl, s.Listen.Ready, "listen.ready", "Listen", "is for role gateway only")
 	}
 	if s.Role == RoleGateway && s.Listen.HTTP == "" {
-		config.ReportError(sl, s.Listen.HTTP, "listen.http", "Listen", "is required of a gateway")
+		config.ReportError(sl, s.Listen.HTTP, "listen.http", "Listen", "is required for role gateway")
 	}
 	if s.Role == RoleGateway && s.Listen.Ready == "" {
-		config.ReportError(sl, s.Listen.Ready, "listen.ready", "Listen", "is required of a gateway")
+		config.ReportError(sl, s.Listen.Ready, "listen.ready", "Listen", "is required for role gateway")
 	}
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -22,7 +22,7 @@
 		"models":["m"],"prefill_rate":1,"decode_rate":1,"memory_tokens":1,"seeds":["10.0.0.2:1"]}}`
 )
 
-func TestDefaultsFillWhatIsLeftOut(t *testing.T) {
+func TestDefaultsFillMissingKeys(t *testing.T) {
 	e, err := Parse([]byte(entry))
 	if err != nil {
 		t.Fatal(err)
@@ -39,11 +39,10 @@
 	}
 }
 
-// Symptom: a process runs with a setting that the operator believes to have
-// changed, or an operator mends a file one fault at a time.
-// Sequence: keys mistyped, values out of range, things left out.
-// Cause: a reader that ignores what it doesn't know, or stops at the first.
-func TestLoadReportsEveryFault(t *testing.T) {
+// Guards against ignoring unknown keys or stopping at the first error: a process
+// would run without a setting that the operator changed, or the operator would have
+// to correct a file one error at a time.
+func TestLoadReportsAllErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.json")
 	const file = `{"role":"agent","name":"VM 1","zone":"z","regoin":"r","platform":{"address":"10.0.0.9:80"},
 		"listen":{"http":"10.0.0.1:4","rpc":"host:1","datagram":"10.0.0.1:2"},"log":{"level":"loud"},
@@ -76,8 +75,8 @@
 	}
 }
 
-// The page must name every key with its default.
-func TestPageListsEveryKey(t *testing.T) {
+// docs/SETTINGS.md must list every key with its default.
+func TestSettingsPageListsEveryKey(t *testing.T) {
 	page, err := os.ReadFile("../docs/SETTINGS.md")
 	if err != nil {
 		t.Fatal(err)
@@ -85,28 +84,28 @@
 	s := withDefaults(RoleEntry)
 	s.Agent = withDefaults(RoleAgent).Agent
 	s.Gateway = withDefaults(RoleGateway).Gateway
-	for _, row := range rowsOf(reflect.ValueOf(s).Elem(), "") {
+	for _, row := range tableRows(reflect.ValueOf(s).Elem(), "") {
 		if !strings.Contains(string(page), row) {
 			t.Errorf("docs/SETTINGS.md lacks a row that begins with %s", row)
 		}
 	}
 }
 
-func rowsOf(v reflect.Value, prefix string) []string {
+func tableRows(v reflect.Value, prefix string) []string {
 	var rows []string
 	for i := range v.NumField() {
 		key, _, _ := strings.Cut(v.Type().Field(i).Tag.Get("json"), ",")
 		field := reflect.Indirect(v.Field(i))
 		if field.Kind() == reflect.Struct {
-			rows = append(rows, rowsOf(field, prefix+key+".")...)
+			rows = append(rows, tableRows(field, prefix+key+".")...)
 			continue
 		}
-		rows = append(rows, fmt.Sprintf("| `%s%s` | %s |", prefix, key, shown(field)))
+		rows = append(rows, fmt.Sprintf("| `%s%s` | %s |", prefix, key, formatDefault(field)))
 	}
 	return rows
 }
 
-func shown(v reflect.Value) string {
+func formatDefault(v reflect.Value) string {
 	if v.IsZero() && v.Kind() != reflect.Int && v.Kind() != reflect.Bool {
 		return "–"
 	}
