--- a/invariant/example_test.go
+++ b/invariant/example_test.go
@@ -8,7 +8,7 @@
 
 var balanced = invariant.New("example.balanced", "what was taken was given back")
 
-// In production a violation is counted and told; in tests it panics.
+// In production a violation is counted and reported; in tests it panics.
 func Example() {
 	invariant.SetPanic(false)
 	defer invariant.SetPanic(true)
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -1,7 +1,7 @@
-// Package invariant holds named checks that are always evaluated and counted.
-// A violated check panics in tests and in the dev run, where a wrong state must
-// not be passed over, and is counted and reported once a name in production,
-// where going on is better than dropping every request in progress.
+// Package invariant provides named checks that are always evaluated and counted. A
+// violation panics in tests and in the dev run, where an invalid state must not go
+// unnoticed. In production it is counted and reported, since continuing is
+// better than dropping all requests in progress.
 package invariant
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Invariant is one named check. Make it once, at package level, with New.
+// Invariant is one named check. Create it once, at package level, with New.
 type Invariant struct {
 	name     string
 	doc      string
@@ -22,7 +22,7 @@
 	violated atomic.Int64
 }
 
-// Count is the tally of one invariant.
+// Count holds the counters of one invariant.
 type Count struct {
 	Name     string `json:"name"`
 	Doc      string `json:"doc"`
@@ -31,39 +31,39 @@
 }
 
 var (
-	mu        sync.Mutex // guards all and onBreak
-	all       = map[string]*Invariant{}
-	onBreak   func(name, detail string)
-	panicking atomic.Bool
+	mu               sync.Mutex // guards registry and violationHandler
+	registry         = map[string]*Invariant{}
+	violationHandler func(name, detail string)
+	panicOnViolation atomic.Bool
 )
 
-func init() { panicking.Store(testing.Testing()) }
+func init() { panicOnViolation.Store(testing.Testing()) }
 
-// New registers an invariant. A second New of the same name panics: two checks
-// under one name would hide each other's counts.
+// New registers an invariant. It panics if the name is already registered, since two
+// checks under one name would hide each other's counts.
 func New(name, doc string) *Invariant {
 	mu.Lock()
 	defer mu.Unlock()
-	if _, ok := all[name]; ok {
+	if _, ok := registry[name]; ok {
 		panic("invariant registered twice: " + name)
 	}
 	iv := &Invariant{name: name, doc: doc}
-	all[name] = iv
+	registry[name] = iv
 	return iv
 }
 
-// SetPanic makes violations panic (tests, dev) or only count (production).
-func SetPanic(on bool) { panicking.Store(on) }
+// SetPanic makes violations panic (tests, dev) or only be counted (production).
+func SetPanic(on bool) { panicOnViolation.Store(on) }
 
-// SetViolationHandler sets a function that is told of each violation, for the log.
+// SetViolationHandler sets a function that is called for each violation, for logging.
 func SetViolationHandler(f func(name, detail string)) {
 	mu.Lock()
 	defer mu.Unlock()
-	onBreak = f
+	violationHandler = f
 }
 
-// Check counts one evaluation and returns ok. If ok is false it counts a
-// violation and, where SetPanic is on, panics.
+// Check counts one evaluation and returns ok. If ok is false it counts a violation,
+// calls the violation handler and, if SetPanic is on, panics.
 func (iv *Invariant) Check(ok bool, format string, args ...any) bool {
 	iv.checked.Add(1)
 	if ok {
@@ -72,23 +72,23 @@
 	iv.violated.Add(1)
 	detail := fmt.Sprintf(format, args...)
 	mu.Lock()
-	report := onBreak
+	report := violationHandler
 	mu.Unlock()
 	if report != nil {
 		report(iv.name, detail)
 	}
-	if panicking.Load() {
+	if panicOnViolation.Load() {
 		panic("invariant " + iv.name + ": " + detail)
 	}
 	return false
 }
 
-// Counts returns the tallies of all invariants, by name.
+// Counts returns the counters of all invariants, sorted by name.
 func Counts() []Count {
 	mu.Lock()
 	defer mu.Unlock()
-	out := make([]Count, 0, len(all))
-	for _, iv := range all {
+	out := make([]Count, 0, len(registry))
+	for _, iv := range registry {
 		out = append(out, Count{iv.name, iv.doc, iv.checked.Load(), iv.violated.Load()})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
@@ -96,11 +96,11 @@
 }
 
 // RegisterMetrics registers gauges invariant.NAME.checked and .violated for every
-// invariant known so far.
+// invariant registered so far.
 func RegisterMetrics(r metrics.Registry) {
 	mu.Lock()
 	defer mu.Unlock()
-	for name, iv := range all {
+	for name, iv := range registry {
 		_ = r.Register("invariant."+name+".checked", metrics.NewFunctionalGauge(iv.checked.Load))
 		_ = r.Register("invariant."+name+".violated", metrics.NewFunctionalGauge(iv.violated.Load))
 	}
--- a/invariant/invarianttest/invarianttest.go
+++ b/invariant/invarianttest/invarianttest.go
@@ -1,4 +1,4 @@
-// Package invarianttest shows that checks of package invariant can fail.
+// Package invarianttest tests that invariant checks detect violations.
 package invarianttest
 
 import (
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// ExpectViolation calls f, which breaks what an invariant checks, and fails the test
-// unless that invariant noticed. Violations must panic, as they do in tests.
+// ExpectViolation calls f, which violates the named invariant, and fails the test
+// unless the check detects it. Violations must panic, as they do in tests.
 func ExpectViolation(t testing.TB, name string, f func()) {
 	t.Helper()
 	defer func() {
 		t.Helper()
 		got := fmt.Sprint(recover())
 		if !strings.HasPrefix(got, "invariant "+name+": ") {
-			t.Errorf("invariant %s did not notice: %s", name, got)
+			t.Errorf("invariant %s did not detect the violation: %s", name, got)
 		}
 	}()
 	f()
