--- a/objectapi/settle.go
+++ b/objectapi/settle.go
@@ -71,7 +71,7 @@
 	if err != nil && ctx.Err() != nil && !isDefinite(err) {
 		err = outcomeUnknown(err)
 	}
-	return o, errors.Annotatef(err, "step verify write of %s/%s", w.Kind, w.Name)
+	return o, errors.Annotatef(err, "step settle write of %s/%s", w.Kind, w.Name)
 }
 
 // verifyOnce reads the object back once, and sends the write once more if its
