--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -239,7 +239,7 @@
 		Policy:   placement.Policy(g.Placement),
 		Store:    store,
 		Protocol: platform.Protocol{},
-		Engines:  func(p *upstream.Pool) reservation.EngineClient { return platform.NewOrders(p) },
+		Engines:  func(p *upstream.Pool) reservation.EngineClient { return platform.NewEngineClient(p) },
 		Decoder: gatewaynode.Decoder{
 			ConfigKind:      platform.KindConfig,
 			ServersKind:     platform.KindServers,
@@ -270,7 +270,7 @@
 // applyChange puts in force what can change while a process runs: where the object
 // API is. The rest holds until the next start.
 func applyChange(s *settings.Settings, store *platform.StoreClient, log logrus.FieldLogger) {
-	if err := store.Move(s.Platform.Address); err != nil {
+	if err := store.SetAddress(s.Platform.Address); err != nil {
 		log.WithError(err).Warn("the object API stays where it was")
 	}
 }
--- a/internal/daemon/standin.go
+++ b/internal/daemon/standin.go
@@ -76,7 +76,7 @@
 	}
 	if c.Backend != nil {
 		backend := platformstandin.NewBackend(c.Backend.Instance, out)
-		backend.CrashWhenOverrun(func() { os.Exit(ExitFailed) })
+		backend.SetColdOverloadHandler(func() { os.Exit(ExitFailed) })
 		return serve(c.Backend.Listen, backend)
 	}
 	return "", nil, errors.WithType(errors.New("name one of platform, engine, service and backend"), errUsage)
--- a/internal/dev/metrics_test.go
+++ b/internal/dev/metrics_test.go
@@ -116,7 +116,7 @@
 		Name: "gateway", Listen: free, ReadyListen: free, Datagram: free, RPC: free, AdminListen: free,
 		Grace: time.Second, RetryWindow: time.Second,
 		Store: standin.NewMemory(standin.Config{}), Protocol: platform.Protocol{},
-		Engines: func(p *upstream.Pool) reservation.EngineClient { return platform.NewOrders(p) },
+		Engines: func(p *upstream.Pool) reservation.EngineClient { return platform.NewEngineClient(p) },
 		Decoder: gatewaynode.Decoder{ConfigKind: platform.KindConfig, ServersKind: platform.KindServers},
 		Log:     quiet.Logger(), Metrics: r,
 	})
--- a/internal/gatewaynode/serve_test.go
+++ b/internal/gatewaynode/serve_test.go
@@ -32,7 +32,7 @@
 		Name: "vm-1", Listen: free, ReadyListen: free, Datagram: free, AdminListen: admin,
 		Grace: grace, RetryWindow: time.Second, Conns: conns,
 		Store: standin.NewMemory(standin.Config{}), Protocol: platform.Protocol{},
-		Engines: func(p *upstream.Pool) reservation.EngineClient { return platform.NewOrders(p) },
+		Engines: func(p *upstream.Pool) reservation.EngineClient { return platform.NewEngineClient(p) },
 		Decoder: gatewaynode.Decoder{
 			ConfigKind: platform.KindConfig, ServersKind: platform.KindServers,
 			Config: platform.DecodeConfig, Server: platform.DecodeServer,
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -81,7 +81,7 @@
 	ask := c.ask()
 	q := request{ID: ask.ID, Path: ask.Path, Key: ask.Key, Entry: c.at, Sent: time.Now()}
 	// Beyond its patience a caller waits a little for a word that is on its way.
-	ctx, cancel := context.WithTimeout(context.Background(), ask.Patience+time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), ask.Timeout+time.Second)
 	defer cancel()
 	r, err := ask.Request(ctx, c.entries[c.at])
 	if err != nil {
@@ -102,10 +102,10 @@
 	return q
 }
 
-func (c *caller) ask() standin.Ask {
-	a := standin.Ask{
-		ID: fmt.Sprintf("c%d-%d", c.number, c.count.Add(1)), Key: keptKey, Patience: callPatience,
-		Path: []string{standin.PathOnce, standin.PathSafe, standin.PathStream}[c.random.IntN(3)],
+func (c *caller) ask() standin.CallerRequest {
+	a := standin.CallerRequest{
+		ID: fmt.Sprintf("c%d-%d", c.number, c.count.Add(1)), Key: keptKey, Timeout: callPatience,
+		Path: []string{standin.PathNonIdempotent, standin.PathIdempotent, standin.PathStream}[c.random.IntN(3)],
 	}
 	if c.random.IntN(3) == 0 {
 		a.Key = removedKey
@@ -137,7 +137,7 @@
 }
 
 // answerOf judges an answer.
-func answerOf(ask standin.Ask, r *http.Response) (Outcome, string) {
+func answerOf(ask standin.CallerRequest, r *http.Response) (Outcome, string) {
 	switch r.StatusCode {
 	case http.StatusOK:
 		if ask.Path == standin.PathStream {
@@ -156,19 +156,19 @@
 	return Unknown, r.Status
 }
 
-func plainOf(ask standin.Ask, body io.Reader) (Outcome, string) {
+func plainOf(ask standin.CallerRequest, body io.Reader) (Outcome, string) {
 	got, err := io.ReadAll(body)
 	if err != nil {
 		return Broken, err.Error()
 	}
-	if string(got) != standin.AnswerTo(ask.ID) {
+	if string(got) != standin.ResponseBody(ask.ID) {
 		return Wrong, fmt.Sprintf("answer %q", got)
 	}
 	return Whole, ""
 }
 
 // streamOf reads a stream: each event once and in order, and all of them if it ends well.
-func streamOf(ask standin.Ask, body io.Reader) (Outcome, string) {
+func streamOf(ask standin.CallerRequest, body io.Reader) (Outcome, string) {
 	reader := bufio.NewReader(body)
 	for n := 1; ; n++ {
 		event, err := readEvent(reader)
@@ -179,7 +179,7 @@
 			return Wrong, fmt.Sprintf("stream ended well after %d of %d events", n-1, ask.Events)
 		case err != nil:
 			return Broken, fmt.Sprintf("after %d of %d events: %v", n-1, ask.Events, err)
-		case event != standin.EventOf(ask.ID, n):
+		case event != standin.StreamEvent(ask.ID, n):
 			return Wrong, fmt.Sprintf("event %d is %q", n, event)
 		}
 	}
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -160,7 +160,7 @@
 
 // arrived takes a line of a server that tells a request.
 func (f *fleet) arrived(text string) bool {
-	var a standin.Arrival
+	var a standin.ReceivedRequest
 	if !strings.HasPrefix(text, "{") || json.Unmarshal([]byte(text), &a) != nil || a.ID == "" {
 		return false
 	}
@@ -213,7 +213,7 @@
 // configure writes the next version of the configuration.
 func (f *fleet) configure(ctx context.Context) error {
 	f.version++
-	data := standin.Configuration(f.version, standin.Declared{
+	data := standin.Configuration(f.version, standin.ConfigurationOptions{
 		Keys: f.keys, Regions: map[string][]string{"bound": {boundRegion}}, ColdPerSecond: coldPerSecond,
 	})
 	o, err := f.client.Get(ctx, standin.ConfigurationKind, standin.ConfigurationName)
@@ -242,8 +242,8 @@
 
 // serves reports whether an entry answers one request on a connection of its own.
 func serves(address, id string) bool {
-	ask := standin.Ask{ID: id, Key: keptKey, Path: standin.PathSafe, Patience: time.Second}
-	ctx, cancel := context.WithTimeout(context.Background(), 2*ask.Patience)
+	ask := standin.CallerRequest{ID: id, Key: keptKey, Path: standin.PathIdempotent, Timeout: time.Second}
+	ctx, cancel := context.WithTimeout(context.Background(), 2*ask.Timeout)
 	defer cancel()
 	r, err := ask.Request(ctx, address)
 	if err != nil {
--- a/internal/soak/kept.go
+++ b/internal/soak/kept.go
@@ -62,7 +62,7 @@
 
 // use sends a call that may run once, unless the connection was ended before, and records how
 // the call ended.
-func (c *keptConn) use(ask standin.Ask, entry int, r *record) {
+func (c *keptConn) use(ask standin.CallerRequest, entry int, r *record) {
 	defer c.Close()
 	select {
 	case <-c.answered:
@@ -75,7 +75,7 @@
 	r.request(q)
 }
 
-func (c *keptConn) send(ask standin.Ask) (Outcome, string) {
+func (c *keptConn) send(ask standin.CallerRequest) (Outcome, string) {
 	request, err := ask.Request(context.Background(), c.RemoteAddr().String())
 	if err != nil {
 		return Wrong, err.Error()
@@ -84,7 +84,7 @@
 	if err := request.Write(&text); err != nil {
 		return Wrong, err.Error()
 	}
-	_ = c.SetDeadline(time.Now().Add(ask.Patience + time.Second)) // fails on a closed connection, as what follows
+	_ = c.SetDeadline(time.Now().Add(ask.Timeout + time.Second)) // fails on a closed connection, as what follows
 	first := text.Next(text.Len() / 2)
 	_, firstErr := c.Write(first)
 	time.Sleep(keptPause)
@@ -103,11 +103,11 @@
 	random := rand.New(rand.NewPCG(uint64(s.At), uint64(s.Target)))
 	for i, c := range conns {
 		at := from.Add(keptFrom + time.Duration(random.Int64N(int64(keptTo-keptFrom))))
-		ask := standin.Ask{
-			ID:       fmt.Sprintf("k%d-%d-%d", s.Target, from.UnixNano(), i),
-			Key:      keptKey,
-			Path:     standin.PathOnce,
-			Patience: callPatience,
+		ask := standin.CallerRequest{
+			ID:      fmt.Sprintf("k%d-%d-%d", s.Target, from.UnixNano(), i),
+			Key:     keptKey,
+			Path:    standin.PathNonIdempotent,
+			Timeout: callPatience,
 		}
 		b.running.Go(func() {
 			time.Sleep(time.Until(at))
--- a/internal/soak/record.go
+++ b/internal/soak/record.go
@@ -35,7 +35,7 @@
 
 // arrival is one that reached a server.
 type arrival struct {
-	standin.Arrival
+	standin.ReceivedRequest
 	At time.Time
 }
 
@@ -78,10 +78,10 @@
 	r.requests = append(r.requests, q)
 }
 
-func (r *record) arrival(a standin.Arrival, at time.Time) {
+func (r *record) arrival(a standin.ReceivedRequest, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.arrivals = append(r.arrivals, arrival{Arrival: a, At: at})
+	r.arrivals = append(r.arrivals, arrival{ReceivedRequest: a, At: at})
 }
 
 func (r *record) server(instance, zone string) {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -100,9 +100,9 @@
 // good is a record in which nothing is broken: one request of each path, answered whole.
 func good(now time.Time) *record {
 	r := &record{settled: true, zones: map[string]string{"server-0": "zone-1"}}
-	for _, path := range []string{standin.PathOnce, standin.PathSafe, standin.PathStream} {
+	for _, path := range []string{standin.PathNonIdempotent, standin.PathIdempotent, standin.PathStream} {
 		r.requests = append(r.requests, request{ID: "id" + path, Path: path, Key: keptKey, Sent: now, Ended: now.Add(time.Second), Outcome: Whole})
-		r.arrivals = append(r.arrivals, arrival{Arrival: standin.Arrival{ID: "id" + path, Instance: "server-0", Ran: true}, At: now})
+		r.arrivals = append(r.arrivals, arrival{ReceivedRequest: standin.ReceivedRequest{ID: "id" + path, Instance: "server-0", Ran: true}, At: now})
 	}
 	return r
 }
@@ -139,8 +139,8 @@
 		PromiseCold: func(r *record) {
 			r.cold = []cold{{instance: "server-0", from: now.Add(-2 * coldNotice), to: now.Add(time.Second)}}
 			for range int(coldOverage*coldPerSecond) + coldSlack {
-				r.requests = append(r.requests, request{ID: fmt.Sprint(len(r.requests)), Path: standin.PathSafe, Key: keptKey, Sent: now, Ended: now, Outcome: Whole})
-				r.arrivals = append(r.arrivals, arrival{Arrival: standin.Arrival{ID: r.requests[len(r.requests)-1].ID, Instance: "server-0", Ran: true}, At: now})
+				r.requests = append(r.requests, request{ID: fmt.Sprint(len(r.requests)), Path: standin.PathIdempotent, Key: keptKey, Sent: now, Ended: now, Outcome: Whole})
+				r.arrivals = append(r.arrivals, arrival{ReceivedRequest: standin.ReceivedRequest{ID: r.requests[len(r.requests)-1].ID, Instance: "server-0", Ran: true}, At: now})
 			}
 		},
 		PromiseRegion:   func(r *record) { r.requests[0].Key = boundKey },
--- a/internal/soak/verdict.go
+++ b/internal/soak/verdict.go
@@ -83,10 +83,10 @@
 	fail := func(promise, format string, args ...any) {
 		out = append(out, Violation{promise, fmt.Sprintf("%s %s at entry %d: ", q.ID, q.Path, q.Entry) + fmt.Sprintf(format, args...)})
 	}
-	if q.Path == standin.PathOnce && runs > 1 {
+	if q.Path == standin.PathNonIdempotent && runs > 1 {
 		fail(PromiseOnce, "ran %d times", runs)
 	}
-	if q.Path == standin.PathOnce && q.Outcome == NotRun && runs > 0 {
+	if q.Path == standin.PathNonIdempotent && q.Outcome == NotRun && runs > 0 {
 		fail(PromiseNotRun, "ran and was refused as not run")
 	}
 	if q.Outcome == Wrong {
