--- a/internal/capacity/compute.go
+++ b/internal/capacity/compute.go
@@ -288,7 +288,7 @@
 	news := requests * m.slope(lineNewsBytes)
 	beats := m.at(lineBeatBytes, streams)
 	peer := 2 * (news + beats)
-	watches := gatewaynode.QuietReadsPerSecond(m.Entries, m.Zones)
+	watches := gatewaynode.IdleReadsPerSecond(m.Entries, m.Zones)
 	t.add(Figure{"news to one peer", news, "B/s", 0, "", "requests / entries × gateway.news.bytes", "peering.Exchange"})
 	t.add(Figure{"beats to one peer", beats, "B/s", 0, "", "gateway.beat.bytes(open streams of a gateway)", "peering.Exchange"})
 	t.add(Figure{"bytes, in and out, a peer", peer, "B/s", limitBytes, "", "2 × both", "peering.Exchange"})
--- a/internal/gatewaynode/node.go
+++ b/internal/gatewaynode/node.go
@@ -52,10 +52,10 @@
 	sweepEvery = time.Second
 )
 
-// QuietReadsPerSecond returns how often the entries of a fleet ask the store together
+// IdleReadsPerSecond returns how often the entries of a fleet ask the store together
 // while nothing changes: the readers of each availability zone, each watch once in its
 // wait.
-func QuietReadsPerSecond(entries, zones int) float64 {
+func IdleReadsPerSecond(entries, zones int) float64 {
 	readers := min(entries, max(zones*peering.ReadersPerZone, peering.MinReaders))
 	perReader := 0.0
 	for _, wait := range []time.Duration{configWait, serversWait, peering.PresenceWatchWait} {
