--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -29,8 +29,8 @@
 	ErrUnknownName = errors.ConstError("name not known")
 )
 
-// Server is what a process knows of a backend server.
-type Server struct {
+// ServerStatus is what a process knows of a backend server.
+type ServerStatus struct {
 	Name           string `json:"name"`
 	Zone           string `json:"zone"`
 	Pool           string `json:"pool"`
@@ -56,7 +56,7 @@
 	ConfigRevision uint64   `json:"config_revision"` // in force
 	Queued         int64    `json:"queued"`
 	Running        int64    `json:"running"`
-	Servers        []Server `json:"servers"`
+	Servers        []ServerStatus `json:"servers"`
 	// EvacuatedZones are the availability zones that operators have evacuated, in force here.
 	EvacuatedZones []string `json:"evacuated_zones,omitempty"`
 	// ZonesAgeMS is how old the proof of them is; of a gateway only.
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -21,7 +21,7 @@
 }
 
 func (p *process) Status() Status {
-	return Status{Name: "entry-1", Zone: "hobart", Ready: true, ConfigRevision: 7, Servers: []Server{{Name: "b1", Running: 2}}}
+	return Status{Name: "entry-1", Zone: "hobart", Ready: true, ConfigRevision: 7, Servers: []ServerStatus{{Name: "b1", Running: 2}}}
 }
 
 func (p *process) Ready() error { return p.ready }
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -249,7 +249,7 @@
 func (f *fakeEntry) Status() admin.Status {
 	f.revision++
 	return admin.Status{Name: f.name, Role: "entry", Ready: true, ConfigRevision: f.revision,
-		Servers: []admin.Server{{Name: "b1", Direct: true, ConfigRevision: f.revision}}}
+		Servers: []admin.ServerStatus{{Name: "b1", Direct: true, ConfigRevision: f.revision}}}
 }
 
 func (f *fakeEntry) Drain(_ context.Context, name string) (admin.DrainState, error) {
@@ -294,8 +294,8 @@
 func TestStatusTakesTheRevisionFromWhoKnowsIt(t *testing.T) {
 	home, other := processStatus{}, processStatus{}
 	home.ConfigRevision, other.ConfigRevision = 7, 7
-	home.Servers = []admin.Server{{Name: "b1", Direct: true, ConfigRevision: 7}}
-	other.Servers = []admin.Server{{Name: "b1"}, {Name: "b2"}}
+	home.Servers = []admin.ServerStatus{{Name: "b1", Direct: true, ConfigRevision: 7}}
+	other.Servers = []admin.ServerStatus{{Name: "b1"}, {Name: "b2"}}
 	for _, order := range [][]processStatus{{home, other}, {other, home}} {
 		f := fleetStatus{Wanted: 7, Processes: order}
 		if f.count(); f.InForce != 3 || f.Known != 4 {
--- a/internal/ctl/evacuate_test.go
+++ b/internal/ctl/evacuate_test.go
@@ -18,7 +18,7 @@
 }
 
 func (p *inForce) Status() admin.Status {
-	s := admin.Status{Name: "e1", Role: roleGateway, Ready: true, ConfigRevision: 3, Servers: []admin.Server{{Name: "i-1", State: "evacuated"}}}
+	s := admin.Status{Name: "e1", Role: roleGateway, Ready: true, ConfigRevision: 3, Servers: []admin.ServerStatus{{Name: "i-1", State: "evacuated"}}}
 	if p.asked.Add(1) > 2 {
 		s.EvacuatedZones, s.ZonesAgeMS = p.zones, 1200
 	}
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -153,8 +153,8 @@
 // freshest returns what is known of each backend server once: as the process
 // told it that hears from the server itself and did so last. What others tell,
 // or told before it changed its home entries, is old.
-func (f *fleetStatus) freshest() map[string]admin.Server {
-	out := make(map[string]admin.Server)
+func (f *fleetStatus) freshest() map[string]admin.ServerStatus {
+	out := make(map[string]admin.ServerStatus)
 	for _, p := range f.Processes {
 		for _, s := range p.Servers {
 			if p.Role == roleAgent || p.Role == roleGateway {
@@ -218,7 +218,7 @@
 	return "not ready"
 }
 
-func serverCells(teller string, s *admin.Server) []string {
+func serverCells(teller string, s *admin.ServerStatus) []string {
 	state := s.State
 	if s.Draining {
 		state = "draining"
--- a/internal/ctl/status_test.go
+++ b/internal/ctl/status_test.go
@@ -14,14 +14,14 @@
 // what it last heard, and a third entry knows of it by digests only. Cause: old
 // or second-hand revisions are counted as the server's own.
 func TestServerCountsOnceAsTheFreshestTold(t *testing.T) {
-	told := func(entry string, s admin.Server) processStatus {
+	told := func(entry string, s admin.ServerStatus) processStatus {
 		s.Name = "b1"
-		return processStatus{Status: admin.Status{Name: entry, Role: "entry", ConfigRevision: 9, Servers: []admin.Server{s}}}
+		return processStatus{Status: admin.Status{Name: entry, Role: "entry", ConfigRevision: 9, Servers: []admin.ServerStatus{s}}}
 	}
 	f := &fleetStatus{Wanted: 9, Processes: []processStatus{
-		told("old", admin.Server{Direct: true, ConfigRevision: 7, LoadAgeMS: 20_000}),
-		told("home", admin.Server{Direct: true, ConfigRevision: 9, LoadAgeMS: 400}),
-		told("far", admin.Server{LoadAgeMS: 100}),
+		told("old", admin.ServerStatus{Direct: true, ConfigRevision: 7, LoadAgeMS: 20_000}),
+		told("home", admin.ServerStatus{Direct: true, ConfigRevision: 9, LoadAgeMS: 400}),
+		told("far", admin.ServerStatus{LoadAgeMS: 100}),
 		{err: errors.New("unreachable")},
 	}}
 	f.count()
@@ -44,9 +44,9 @@
 // aren't told of what doesn't concern them, and can't know that it doesn't.
 func TestHomeSpeaksForTheAgent(t *testing.T) {
 	entry := processStatus{Status: admin.Status{Name: "e", Role: roleEntry, ConfigRevision: 9,
-		Servers: []admin.Server{{Name: "b1", Direct: true, ConfigRevision: 9}}}}
+		Servers: []admin.ServerStatus{{Name: "b1", Direct: true, ConfigRevision: 9}}}}
 	agent := processStatus{Status: admin.Status{Name: "b1", Role: roleAgent, ConfigRevision: 4,
-		Servers: []admin.Server{{Name: "b1", Direct: true, ConfigRevision: 4}}}}
+		Servers: []admin.ServerStatus{{Name: "b1", Direct: true, ConfigRevision: 4}}}}
 	f := &fleetStatus{Wanted: 9, Processes: []processStatus{agent, entry}}
 	if f.count(); f.InForce != 2 || f.Known != 2 {
 		t.Errorf("in force at %d of %d, want 2 of 2", f.InForce, f.Known)
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	lines := logqueue.New(e.out, logqueue.DefaultLines)
+	lines := logqueue.New(e.out, logqueue.DefaultCapacity)
 	defer lines.Close()
 	logger, err := newLogger(lines, s.Log.Level, s.Log.Format)
 	if err != nil {
--- a/internal/gatewaynode/status.go
+++ b/internal/gatewaynode/status.go
@@ -26,7 +26,7 @@
 	view := n.zones.View(n.directory.CurrentAsOf())
 	s := admin.Status{
 		Name: n.cfg.Name, Role: role, Zone: n.cfg.Zone, Ready: n.Ready() == nil, Draining: n.gateway.ShuttingDown(),
-		Running: n.gateway.ActiveRequests(), EvacuatedZones: view.Zones(), Servers: []admin.Server{},
+		Running: n.gateway.ActiveRequests(), EvacuatedZones: view.Zones(), Servers: []admin.ServerStatus{},
 	}
 	if age, ok := n.zones.Age(); ok && n.evacuates() {
 		s.ZonesAgeMS = age.Milliseconds()
@@ -45,10 +45,10 @@
 		}
 		s.Servers = append(s.Servers, statusOf(server, state))
 	}
-	slices.SortFunc(s.Servers, func(a, b admin.Server) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(s.Servers, func(a, b admin.ServerStatus) int { return cmp.Compare(a.Name, b.Name) })
 	return s
 }
 
-func statusOf(s upstream.Server, state string) admin.Server {
-	return admin.Server{Name: s.Instance, Zone: s.Zone, Pool: s.Service, State: state, Draining: s.Draining}
+func statusOf(s upstream.Server, state string) admin.ServerStatus {
+	return admin.ServerStatus{Name: s.Instance, Zone: s.Zone, Pool: s.Service, State: state, Draining: s.Draining}
 }
--- a/internal/logqueue/logqueue.go
+++ b/internal/logqueue/logqueue.go
@@ -10,8 +10,8 @@
 	"sync/atomic"
 )
 
-// DefaultLines is how many lines wait at most. At 300 bytes a line it is 300 kB.
-const DefaultLines = 1000
+// DefaultCapacity is how many lines wait at most. At 300 bytes a line it is 300 kB.
+const DefaultCapacity = 1000
 
 // Queue is an io.Writer that never blocks. Each Write is one whole line.
 type Queue struct {
--- a/internal/node/agent.go
+++ b/internal/node/agent.go
@@ -290,7 +290,7 @@
 		Draining:       load.Draining,
 		ConfigRevision: n.catalog.Revision(),
 		Running:        int64(load.Running),
-		Servers:        []admin.Server{ownStatus(&row, n.catalog.Revision())},
+		Servers:        []admin.ServerStatus{ownStatus(&row, n.catalog.Revision())},
 	}
 }
 
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -7,8 +7,8 @@
 	"github.com/briarturn/briarturn/internal/admin"
 )
 
-func serverStatus(r *backend.Row, revision uint64, now time.Time) admin.Server {
-	s := admin.Server{
+func serverStatus(r *backend.Row, revision uint64, now time.Time) admin.ServerStatus {
+	s := admin.ServerStatus{
 		Name:           r.Name,
 		Zone:           r.Zone,
 		Pool:           r.Pool,
@@ -29,7 +29,7 @@
 }
 
 // ownStatus is what the agent itself says of its backend server.
-func ownStatus(r *backend.Row, revision uint64) admin.Server {
+func ownStatus(r *backend.Row, revision uint64) admin.ServerStatus {
 	s := serverStatus(r, revision, time.Now())
 	s.Direct = true
 	return s
