--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,15 +1,15 @@
-// Package admin is the operators' HTTP interface of a process: health,
-// readiness, status, drain, metrics and service-level counts. It holds the
+// Package admin implements the HTTP admin interface of a process: health,
+// readiness, status, drain, metrics and service-level counts. It contains the
 // handler, the client and the types that both share.
 //
-// Rules:
-//   - GET /healthz answers 200 as long as the process answers at all.
-//   - GET /readyz answers 200 or 503 with the reason; the balancer reads it.
-//   - GET /status and /slo answer JSON and change nothing.
-//   - GET /metrics answers the text format of metrics scrapers.
-//   - POST /drain is idempotent: asked again, it tells how far the drain is.
-//   - What a process does not provide answers 404.
-//   - /debug/pprof/ is served only where Config.Pprof says so.
+// Endpoints:
+//   - GET /healthz returns 200 whenever the process can respond.
+//   - GET /readyz returns 200, or 503 with the reason; load balancers poll it.
+//   - GET /status and /slo return JSON and have no side effects.
+//   - GET /metrics returns the Prometheus text format.
+//   - POST /drain is idempotent: a repeated call reports the drain's progress.
+//   - /debug/pprof/ is served only if Config.Pprof is set.
+//   - Endpoints that a process does not provide return 404.
 package admin
 
 import (
@@ -21,23 +21,25 @@
 	"github.com/briarturn/briarturn/slo"
 )
 
-// Errors of the client. Test with errors.Is.
+// Errors returned by Client. Test with errors.Is.
 const (
-	// ErrUnavailable: the process could not be reached, or did not answer.
+	// ErrUnavailable reports that the process could not be reached, did not send
+	// a complete response, or responded with 503.
 	ErrUnavailable = errors.ConstError("admin interface unavailable")
-	// ErrUnknownName: the process knows nothing of that name.
+	// ErrUnknownName reports that the process has no component of that name.
+	// The client returns it for every 404 response.
 	ErrUnknownName = errors.ConstError("name not known")
 )
 
-// ServerStatus is what a process knows of a backend server.
+// ServerStatus is the state of a backend server as seen by one process.
 type ServerStatus struct {
 	Name           string `json:"name"`
 	Zone           string `json:"zone"`
 	Pool           string `json:"pool"`
-	State          string `json:"state"`  // live, suspect, leaving, dead; of a gateway live, cold, evacuated
-	Direct         bool   `json:"direct"` // it reports to this process itself
+	State          string `json:"state"`  // live, suspect, leaving or dead; in a gateway live, cold or evacuated
+	Direct         bool   `json:"direct"` // the server reports its load directly to this process
 	Draining       bool   `json:"draining"`
-	ConfigRevision uint64 `json:"config_revision"` // in force there, as far as known
+	ConfigRevision uint64 `json:"config_revision"` // last known revision in force at the server
 	Running        int64  `json:"running"`
 	Waiting        int64  `json:"waiting"`
 	UsedTokens     int64  `json:"used_tokens"`
@@ -48,51 +50,53 @@
 
 // Status is the state of one process.
 type Status struct {
-	Name           string   `json:"name"`
-	Role           string   `json:"role"` // entry, agent or gateway
-	Zone           string   `json:"zone"`
-	Ready          bool     `json:"ready"`
-	Draining       bool     `json:"draining"`
-	ConfigRevision uint64   `json:"config_revision"` // in force
-	Queued         int64    `json:"queued"`
-	Running        int64    `json:"running"`
+	Name           string         `json:"name"`
+	Role           string         `json:"role"` // entry, agent or gateway
+	Zone           string         `json:"zone"`
+	Ready          bool           `json:"ready"`
+	Draining       bool           `json:"draining"`
+	ConfigRevision uint64         `json:"config_revision"` // in force
+	Queued         int64          `json:"queued"`
+	Running        int64          `json:"running"`
 	Servers        []ServerStatus `json:"servers"`
-	// EvacuatedZones are the availability zones that operators have evacuated, in force here.
+	// EvacuatedZones lists the availability zones whose evacuation is in force in this process.
 	EvacuatedZones []string `json:"evacuated_zones,omitempty"`
-	// ZonesAgeMS is how old the proof of them is; of a gateway only.
+	// ZonesAgeMS is the time in milliseconds since EvacuatedZones was last known to be
+	// current. Only gateways set it.
 	ZonesAgeMS int64 `json:"zones_age_ms,omitempty"`
 }
 
-// DrainRequest asks a process to drain. Name is the process's own name, or
-// that of a backend server beside it; empty means the process itself.
+// DrainRequest is the body of POST /drain. Name is the name of the process or of
+// a backend server that it can drain; if empty, the process itself drains.
 type DrainRequest struct {
 	Name string `json:"name,omitempty"`
 }
 
-// DrainState tells how far a drain is. It is over when Running is 0.
+// DrainState is the progress of a drain. The drain is complete when Running is 0.
 type DrainState struct {
 	Name     string `json:"name"`
 	Draining bool   `json:"draining"`
 	Running  int64  `json:"running"`
 }
 
-// StatusProvider gives the state of the process.
+// StatusProvider returns the state of the process.
 type StatusProvider interface {
 	Status() Status
 }
 
-// ReadyProvider returns nil if the process may get work, or why not.
+// ReadyProvider reports whether the process accepts work. Ready returns nil if it
+// does, and otherwise the reason.
 type ReadyProvider interface {
 	Ready() error
 }
 
-// Drainer starts a drain, or goes on with one. It returns ErrUnknownName for a
-// name that isn't its own.
+// Drainer starts a drain, or continues one that is in progress, and returns its
+// state. It returns ErrUnknownName for a name that it can't drain.
 type Drainer interface {
 	Drain(ctx context.Context, name string) (DrainState, error)
 }
 
-// SLOProvider gives the service-level counts of the process.
+// SLOProvider returns the service-level counts of the process.
 type SLOProvider interface {
 	Snapshot(now time.Time) slo.Snapshot
 }
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -16,17 +16,17 @@
 
 const (
 	clientTimeout    = 30 * time.Second
-	maxResponseBytes = 64 << 20 // service-level counts of thousands of series
+	maxResponseBytes = 64 << 20 // enough for the service-level counts of thousands of series
 )
 
-// Client talks to the admin interface of one process. It is safe for
+// Client calls the admin interface of one process. It is safe for
 // concurrent use.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// NewClient returns a client for an address, ip:port or a URL.
+// NewClient returns a client for an address, given as ip:port or as a URL.
 func NewClient(address string) *Client {
 	if !strings.Contains(address, "://") {
 		address = "http://" + address
@@ -40,14 +40,15 @@
 // Address returns the base URL.
 func (c *Client) Address() string { return c.base }
 
-// Status asks for the state of the process.
+// Status returns the state of the process.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var out Status
 	err := c.call(ctx, http.MethodGet, "/status", nil, &out)
 	return out, err
 }
 
-// Drain starts a drain, or asks how far it is.
+// Drain starts a drain of the named process or backend server and returns its
+// state. If the drain is already in progress, it only returns the state.
 func (c *Client) Drain(ctx context.Context, name string) (DrainState, error) {
 	body, err := json.Marshal(DrainRequest{Name: name})
 	if err != nil {
@@ -58,7 +59,7 @@
 	return out, err
 }
 
-// SLO asks for the service-level counts of the process.
+// SLO returns the service-level counts of the process.
 func (c *Client) SLO(ctx context.Context) (slo.Snapshot, error) {
 	var out slo.Snapshot
 	err := c.call(ctx, http.MethodGet, "/slo", nil, &out)
@@ -83,13 +84,15 @@
 		return errors.Errorf("step read %s, peer %s: over %d bytes", path, c.base, maxResponseBytes)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return c.refused(path, resp.StatusCode, data)
+		return c.errorFromResponse(path, resp.StatusCode, data)
 	}
 	return errors.Annotatef(json.Unmarshal(data, out), "step decode %s, peer %s", path, c.base)
 }
 
-func (c *Client) refused(path string, status int, data []byte) error {
-	var f failure
+// errorFromResponse converts a response other than 200 into an error. Status 404
+// becomes ErrUnknownName and 503 becomes ErrUnavailable.
+func (c *Client) errorFromResponse(path string, status int, data []byte) error {
+	var f errorBody
 	if json.Unmarshal(data, &f) != nil || f.Error == "" {
 		f.Error = http.StatusText(status)
 	}
--- a/internal/admin/exposition_test.go
+++ b/internal/admin/exposition_test.go
@@ -11,8 +11,8 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Every kind of metric comes out under its name, in base units.
-func TestExpositionOfEachKind(t *testing.T) {
+// Checks the name, type and unit of each metric type in the text format.
+func TestExpositionOfEachMetricType(t *testing.T) {
 	r := metrics.NewRegistry()
 	metrics.GetOrRegisterCounter("gateway.attempts", r).Inc(3)
 	metrics.GetOrRegisterGauge("declared.revision", r).Update(7)
@@ -34,16 +34,15 @@
 		`briarturn_gateway_first_byte_ms{quantile="0.5"} 40`,
 	} {
 		if !strings.Contains(out.String(), line+"\n") {
-			t.Errorf("lacks %q:\n%s", line, out.String())
+			t.Errorf("no line %q in:\n%s", line, out.String())
 		}
 	}
 }
 
-// Symptom: a scraper reads none of a process's metrics. Sequence: a counter is
-// named after a caller's text, and another differs from it in one character that
-// the format lacks. Cause: the same name twice, or a name that isn't valid; the
-// scraper rejects the whole answer.
-func TestExpositionIsReadWithAnyNames(t *testing.T) {
+// Guards against a scraper that rejects the whole response because of a duplicate or
+// invalid name. This occurs when a counter is named after text from a caller, and another
+// counter's name differs only in a character that the format does not allow.
+func TestExpositionIsValidForAnyMetricNames(t *testing.T) {
 	r := metrics.NewRegistry()
 	for _, name := range []string{"refused.a-b", "refused.a.b", "refused.a_b", "refused.é\n{}\"", "9"} {
 		metrics.GetOrRegisterCounter(name, r).Inc(1)
--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -11,8 +11,8 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Limits of a connection to the interface. Profiles are streamed for up to
-// half a minute by default, so the write limit is longer.
+// Limits of an admin connection. The write timeout exceeds the duration of a
+// profile, which is streamed for up to 30 s by default.
 const (
 	readHeaderTimeout = 5 * time.Second
 	readTimeout       = 10 * time.Second
@@ -22,7 +22,8 @@
 	maxRequestBytes   = 16 << 10
 )
 
-// Config says what a process provides. Nil fields answer 404.
+// Config selects the endpoints that a process provides. The endpoint of a nil
+// field returns 404.
 type Config struct {
 	Status  StatusProvider
 	Ready   ReadyProvider
@@ -32,7 +33,8 @@
 	Pprof   bool
 }
 
-// NewServer returns an HTTP server for the interface with its limits set.
+// NewServer returns an HTTP server for the admin interface, with timeouts and
+// size limits set.
 func NewServer(c Config) *http.Server {
 	return &http.Server{
 		Handler:           NewHandler(c),
@@ -44,11 +46,11 @@
 	}
 }
 
-// NewHandler returns the handler of the interface.
+// NewHandler returns the HTTP handler of the admin interface.
 func NewHandler(c Config) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
-		writeJSON(w, http.StatusOK, health{OK: true})
+		writeJSON(w, http.StatusOK, healthBody{OK: true})
 	})
 	if c.Ready != nil {
 		mux.HandleFunc("GET /readyz", readyHandler(c.Ready))
@@ -67,7 +69,7 @@
 		mux.HandleFunc("POST /drain", drainHandler(c.Drain))
 	}
 	if c.Metrics != nil {
-		mux.HandleFunc("GET /metrics", serveExposition(c.Metrics))
+		mux.HandleFunc("GET /metrics", metricsHandler(c.Metrics))
 	}
 	if c.Pprof {
 		handlePprof(mux)
@@ -75,24 +77,24 @@
 	return mux
 }
 
-// health is the body of /healthz and /readyz.
-type health struct {
+// healthBody is the body of /healthz and /readyz.
+type healthBody struct {
 	OK     bool   `json:"ok"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// failure is the body of an error.
-type failure struct {
+// errorBody is the body of an error response.
+type errorBody struct {
 	Error string `json:"error"`
 }
 
 func readyHandler(p ReadyProvider) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if err := p.Ready(); err != nil {
-			writeJSON(w, http.StatusServiceUnavailable, health{Reason: err.Error()})
+			writeJSON(w, http.StatusServiceUnavailable, healthBody{Reason: err.Error()})
 			return
 		}
-		writeJSON(w, http.StatusOK, health{OK: true})
+		writeJSON(w, http.StatusOK, healthBody{OK: true})
 	}
 }
 
@@ -101,15 +103,15 @@
 		var req DrainRequest
 		err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&req)
 		if err != nil && !errors.Is(err, io.EOF) {
-			writeJSON(w, http.StatusBadRequest, failure{Error: "body is not a drain request: " + err.Error()})
+			writeJSON(w, http.StatusBadRequest, errorBody{Error: "body is not a drain request: " + err.Error()})
 			return
 		}
 		state, err := d.Drain(r.Context(), req.Name)
 		switch {
 		case errors.Is(err, ErrUnknownName):
-			writeJSON(w, http.StatusNotFound, failure{Error: err.Error()})
+			writeJSON(w, http.StatusNotFound, errorBody{Error: err.Error()})
 		case err != nil:
-			writeJSON(w, http.StatusInternalServerError, failure{Error: err.Error()})
+			writeJSON(w, http.StatusInternalServerError, errorBody{Error: err.Error()})
 		default:
 			writeJSON(w, http.StatusOK, state)
 		}
@@ -127,6 +129,6 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A write fails only if the reader is gone.
+	// A write fails only if the client has disconnected.
 	_ = json.NewEncoder(w).Encode(v)
 }
