--- a/internal/logqueue/logqueue.go
+++ b/internal/logqueue/logqueue.go
@@ -1,6 +1,6 @@
-// Package logqueue writes log lines behind the back of those who log: a bounded
-// queue and one writer. A reader of the log that stops reading fills the queue, and
-// lines are then dropped and counted; it never holds up a request.
+// Package logqueue writes log lines asynchronously, through a bounded queue and one
+// writer goroutine. If the reader of the log stops reading, the queue fills and further
+// lines are dropped and counted, so that logging never blocks a request.
 package logqueue
 
 import (
@@ -10,27 +10,31 @@
 	"sync/atomic"
 )
 
-// DefaultCapacity is how many lines wait at most. At 300 bytes a line it is 300 kB.
+// DefaultCapacity is the maximum number of queued lines. At 300 bytes per line, a full
+// queue holds 300 kB.
 const DefaultCapacity = 1000
 
-// Queue is an io.Writer that never blocks. Each Write is one whole line.
+// Queue is an io.Writer that never blocks on the output. Each call of Write must pass
+// one complete line.
 type Queue struct {
 	lines   chan []byte
 	dropped atomic.Int64
 	done    chan struct{}
 
-	mu     sync.RWMutex // held shared by writers, so that Close ends after them
+	mu     sync.RWMutex // held for reading in Write, so that Close waits for calls in progress
 	closed bool
 }
 
-// New starts a Queue that writes to out.
+// New returns a Queue of at most lines queued lines and starts its writer, which
+// writes to out.
 func New(out io.Writer, lines int) *Queue {
 	q := &Queue{lines: make(chan []byte, lines), done: make(chan struct{})}
 	go q.run(out)
 	return q
 }
 
-// Write takes one line, or drops and counts it if the queue is full.
+// Write queues a copy of one line. If the queue is full or closed, it drops and counts
+// the line. It never returns an error.
 func (q *Queue) Write(line []byte) (int, error) {
 	q.mu.RLock()
 	defer q.mu.RUnlock()
@@ -50,14 +54,14 @@
 	defer close(q.done)
 	for line := range q.lines {
 		if n := q.dropped.Swap(0); n > 0 {
-			// Where the log itself can't be written there is nowhere to say so.
+			// A failed write of the log can't be reported anywhere, so errors are ignored.
 			_, _ = fmt.Fprintf(out, "{\"level\":\"warning\",\"msg\":\"log lines dropped\",\"lines\":%d}\n", n)
 		}
 		_, _ = out.Write(line)
 	}
 }
 
-// Close writes what waits and ends the writer.
+// Close writes the queued lines and stops the writer. It may be called more than once.
 func (q *Queue) Close() {
 	q.mu.Lock()
 	if !q.closed {
--- a/internal/logqueue/logqueue_test.go
+++ b/internal/logqueue/logqueue_test.go
@@ -6,22 +6,21 @@
 	"testing"
 )
 
-// stuck blocks each write until it is let go.
-type stuck struct {
+// blockingWriter blocks each write until release is closed.
+type blockingWriter struct {
 	bytes.Buffer
 	release chan struct{}
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockingWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return s.Buffer.Write(p)
 }
 
-// Symptom: requests hang while the log isn't read.
-// Sequence: the reader of the log stops; lines go on being written.
-// Cause: a write of a log line waited for the reader.
+// Guards against requests that hang while nothing reads the log, because the write of a
+// log line waits for the reader.
 func TestFullQueueDropsAndCounts(t *testing.T) {
-	out := &stuck{release: make(chan struct{})}
+	out := &blockingWriter{release: make(chan struct{})}
 	q := New(out, 2)
 	const written = 100
 	for range written {
@@ -35,14 +34,14 @@
 	text := out.String()
 	kept := strings.Count(text, "line\n")
 	if kept == 0 || kept > 4 {
-		t.Errorf("%d of %d lines were kept by a queue of 2", kept, written)
+		t.Errorf("a queue of 2 kept %d of %d lines", kept, written)
 	}
 	if !strings.Contains(text, `"msg":"log lines dropped"`) || strings.Contains(text, "after the end") {
 		t.Errorf("log: %q", text)
 	}
 }
 
-func TestCloseWritesWhatWaits(t *testing.T) {
+func TestCloseFlushesQueuedLines(t *testing.T) {
 	var out bytes.Buffer
 	q := New(&out, 10)
 	for _, line := range []string{"a\n", "b\n", "c\n"} {
--- a/internal/logqueue/sampler.go
+++ b/internal/logqueue/sampler.go
@@ -6,23 +6,24 @@
 	"golang.org/x/time/rate"
 )
 
-// Sampler thins out the lines of what went well, so that the volume stays bounded
-// under load and the queue has room for refusals, failures and changes of belief.
-// Without it the line that explains a failure is dropped as readily as a thousand
-// that nobody asks for.
+// Sampler limits the rate of routine log lines, such as those of successful requests.
+// This bounds the log volume under load and leaves room in the queue for the lines of
+// refusals, failures and state changes. Without it, a full queue would drop the line
+// that explains a failure as often as any routine line.
 type Sampler struct {
 	queue   *Queue
 	limiter *rate.Limiter
 	skipped atomic.Int64
 }
 
-// NewSampler lets so many lines a second pass while the queue is at most half full.
+// NewSampler returns a Sampler that allows up to perSecond routine lines per second
+// while q is at most half full, and none otherwise.
 func NewSampler(q *Queue, perSecond float64) *Sampler {
 	return &Sampler{queue: q, limiter: rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))}
 }
 
-// Allow reports whether a routine line is to be written, and how many before it
-// were not.
+// Allow reports whether a routine line may be written. If so, it also returns the
+// number of lines that were skipped since the last allowed one.
 func (s *Sampler) Allow() (skipped int64, ok bool) {
 	const half = 2
 	if len(s.queue.lines) > cap(s.queue.lines)/half || !s.limiter.Allow() {
--- a/internal/logqueue/sampler_test.go
+++ b/internal/logqueue/sampler_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// Symptom: the line of a refusal is missing from the log of a busy hour.
-// Sequence: requests succeed faster than their lines are read; one is refused.
-// Cause: the lines of the successes had filled the queue.
+// Guards against the loss of a refusal's log line under load. Requests succeed faster
+// than their lines are read, and these lines fill the queue before one is refused.
 func TestSamplerLeavesRoomForFailures(t *testing.T) {
-	out := &stuck{release: make(chan struct{})}
+	out := &blockingWriter{release: make(chan struct{})}
 	q := New(out, 10)
 	s := NewSampler(q, 1e9)
-	// The queue's writer takes one line and is stuck with it. Taken in the middle of what
-	// follows, it would let one more pass, which takes over the count of those before.
+	// Wait until the queue's writer has received one line and blocks in its write. If it
+	// received a line during the loop below, one more line would be allowed, and Allow
+	// would reset the count of skipped lines.
 	_, _ = q.Write([]byte("taken\n"))
 	for len(q.lines) > 0 {
 		runtime.Gosched()
@@ -24,14 +24,14 @@
 		}
 	}
 	if _, ok := s.Allow(); ok {
-		t.Error("routine lines may fill the queue")
+		t.Error("routine line allowed although the queue is more than half full")
 	}
 	const failures = 4
 	for range failures {
 		_, _ = q.Write([]byte("failure\n"))
 	}
 	if n := q.dropped.Load(); n > 0 {
-		t.Errorf("%d lines of failures were dropped", n)
+		t.Errorf("%d log lines of failures were dropped", n)
 	}
 	close(out.release)
 	q.Close()
@@ -40,12 +40,12 @@
 	}
 }
 
-func TestSamplerBoundsTheRate(t *testing.T) {
-	q := New(&stuck{release: make(chan struct{})}, 1000)
+func TestSamplerLimitsRate(t *testing.T) {
+	q := New(&blockingWriter{release: make(chan struct{})}, 1000)
 	s := NewSampler(q, 1)
 	_, first := s.Allow()
 	_, second := s.Allow()
 	if !first || second {
-		t.Errorf("first %v, second %v of one line a second", first, second)
+		t.Errorf("at one line per second: first allowed %v, second allowed %v", first, second)
 	}
 }
