--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,8 +1,10 @@
-// Package boottime is a clock that goes on while the VM is suspended.
+// Package boottime provides a monotonic clock that includes the time during which
+// the VM is suspended.
 //
-// Go's monotonic clock stands still during a suspension, so a VM that was frozen
-// for a minute would take what it learned before for seconds old. The time of day
-// counts the suspension but jumps. CLOCK_BOOTTIME does neither.
+// Go's monotonic clock stops during a suspension, so a VM that was suspended for a
+// minute would take data from before the suspension to be only seconds old. The
+// wall clock includes the suspension, but it can jump. CLOCK_BOOTTIME includes the
+// suspension and doesn't jump.
 package boottime
 
 import (
@@ -11,24 +13,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// Instant is a time since the VM booted. Instants of two VMs can't be compared.
+// Instant is the time since the VM booted. Instants of different VMs can't be compared.
 type Instant time.Duration
 
-// Clock returns the present Instant. Tests put their own in its place.
+// Clock returns the current Instant. Tests replace it.
 type Clock func() Instant
 
-// Now is the Clock of this VM.
+// Now returns the current Instant of this VM.
 func Now() Instant {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Only a kernel without the clock fails here, and none that Go supports.
+		// The call fails only on kernels without CLOCK_BOOTTIME, which Go doesn't support.
 		panic("boottime: " + err.Error())
 	}
 	return Instant(ts.Nano())
 }
 
-// Sub returns how long after u the instant is.
+// Sub returns the duration i-u.
 func (i Instant) Sub(u Instant) time.Duration { return time.Duration(i - u) }
 
-// Add returns the instant d later.
+// Add returns the instant i+d.
 func (i Instant) Add(d time.Duration) Instant { return i + Instant(d) }
--- a/internal/quiet/quiet.go
+++ b/internal/quiet/quiet.go
@@ -1,4 +1,4 @@
-// Package quiet gives the logger of those who asked for none.
+// Package quiet provides the default logger of components that are configured without one.
 package quiet
 
 import (
@@ -7,7 +7,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Logger returns a logger that discards what it is given.
+// Logger returns a new logger that discards all output.
 func Logger() *logrus.Logger {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
--- a/internal/rawserver/rawserver.go
+++ b/internal/rawserver/rawserver.go
@@ -1,4 +1,4 @@
-// Package rawserver gives tests a TCP server whose connections they serve by hand.
+// Package rawserver provides a TCP server for tests that read and write raw connections.
 package rawserver
 
 import (
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// Start serves each connection with handle, in a goroutine of its own, until the
-// test ends. It returns the address. The connection is closed after handle.
+// Start starts a server on a free local port and returns its address. Until the test
+// ends, it calls handle for each connection in a separate goroutine, and closes the
+// connection when handle returns.
 func Start(t testing.TB, handle func(net.Conn, *bufio.Reader)) string {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -20,7 +21,7 @@
 		for {
 			conn, err := lis.Accept()
 			if err != nil {
-				return // the test has ended
+				return // the listener is closed at the end of the test
 			}
 			go func() {
 				defer func() { _ = conn.Close() }()
--- a/internal/seedtest/seedtest.go
+++ b/internal/seedtest/seedtest.go
@@ -1,5 +1,5 @@
-// Package seedtest fixes the seed of property tests, so that they give the same
-// verdict each run. It is for test files only.
+// Package seedtest fixes the seed of property tests, so that every run gives the same
+// result. Only test files import it.
 package seedtest
 
 import (
@@ -9,11 +9,13 @@
 	"testing"
 )
 
-// Flag is rapid's flag for the seed; its default stands for a random one.
+// Flag is the name of rapid's command-line flag for the seed. At the flag's default
+// value, rapid chooses a random seed.
 const Flag = "rapid.seed"
 
-// Main is for TestMain: it runs the tests with a seed, unless the command line
-// gives another with -rapid.seed. The package under test must import rapid.
+// Main runs the tests with a fixed seed and exits; call it from TestMain. A seed given
+// on the command line with -rapid.seed takes precedence, unless it is the flag's default
+// value. The package under test must import rapid, which defines the flag.
 func Main(m *testing.M, seed uint64) {
 	flag.Parse()
 	if f := flag.Lookup(Flag); f.Value.String() == f.DefValue {
--- a/internal/sleep/sleep.go
+++ b/internal/sleep/sleep.go
@@ -1,4 +1,4 @@
-// Package sleep waits for a time or for the end of a context.
+// Package sleep provides a sleep that a context can interrupt.
 package sleep
 
 import (
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// For waits for d and reports whether ctx lived that long. It doesn't wait if
-// ctx has ended or d isn't positive.
+// For waits for d or until ctx is done, and reports whether the full time has passed.
+// It returns at once if ctx is already done or d isn't positive; in the latter case it
+// reports whether ctx is still active.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 || ctx.Err() != nil {
 		return ctx.Err() == nil
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -1,4 +1,4 @@
-// Package table writes plain text tables, so that all reports look alike.
+// Package table writes plain-text tables in the format that all reports share.
 package table
 
 import (
@@ -9,8 +9,8 @@
 	"github.com/olekukonko/tablewriter/tw"
 )
 
-// Write prints rows under a header. The first column is aligned to the left,
-// the others to the right.
+// Write writes a table with a header to w. The first column is left-aligned, the
+// others are right-aligned. The header must not be empty.
 func Write(w io.Writer, header []string, rows [][]string) error {
 	align := tw.MakeAlign(len(header), tw.AlignRight)
 	align[0] = tw.AlignLeft
