--- a/cmd/briarturnctl/main.go
+++ b/cmd/briarturnctl/main.go
@@ -1,5 +1,5 @@
-// Command briarturnctl is the operators' tool: it applies objects, shows the
-// state of a fleet, and sends it load. See briarturnctl --help.
+// Command briarturnctl is the command-line tool for operators. It applies objects, shows
+// the state of a fleet and sends load to it. Run briarturnctl --help for usage.
 package main
 
 import (
--- a/cmd/briarturnd/main.go
+++ b/cmd/briarturnd/main.go
@@ -1,6 +1,6 @@
-// Command briarturnd is the daemon: an entry or an agent from a settings file,
-// the whole system in one process, or a stand-in of what surrounds it. See
-// briarturnd --help.
+// Command briarturnd is the daemon. It runs a role from a settings file, the whole system
+// in one process, or a stand-in for the platform, an engine or a service. It also checks
+// settings files and runs chaos tests and experiments. Run briarturnd --help for usage.
 package main
 
 import (
--- a/internal/layers/doc.go
+++ b/internal/layers/doc.go
@@ -1,3 +1,3 @@
-// Package layers has no code. Its tests keep what the packages may import, and
-// the page for those who embed them.
+// Package layers contains only tests. They check which packages each package may
+// import, and that the code listings of the embedding guide appear in tested examples.
 package layers
--- a/internal/layers/embedding_test.go
+++ b/internal/layers/embedding_test.go
@@ -9,8 +9,8 @@
 
 const embeddingPage = "../../docs/EMBEDDING.md"
 
-// listings returns the Go listings of a page.
-func listings(page string) []string {
+// goListings returns the contents of the Go code blocks of a Markdown page.
+func goListings(page string) []string {
 	var out []string
 	for _, block := range strings.Split(page, "```go\n")[1:] {
 		listing, _, _ := strings.Cut(block, "```")
@@ -19,8 +19,8 @@
 	return out
 }
 
-// unindented joins the lines of a text without the tabs at their beginnings.
-func unindented(text string) string {
+// trimIndent returns text without the leading tabs of its lines.
+func trimIndent(text string) string {
 	var out strings.Builder
 	for line := range strings.Lines(text) {
 		out.WriteString(strings.TrimLeft(line, "\t"))
@@ -28,11 +28,10 @@
 	return out.String()
 }
 
-// Symptom: a listing of the page doesn't compile for whoever tries it.
-// Sequence: a name changes in the code, and in all tests.
-// Cause: nothing compiles a page. Each listing must stand in an example, which
-// the tests compile and run.
-func TestListingsOfThePageAreThoseOfExamples(t *testing.T) {
+// Guards against listings of the embedding guide that no longer compile after a rename
+// in the code. Nothing compiles the page itself, so each listing must appear in an
+// example, which the tests compile and run.
+func TestEmbeddingListingsMatchExamples(t *testing.T) {
 	page, err := os.ReadFile(embeddingPage)
 	if err != nil {
 		t.Fatal(err)
@@ -47,15 +46,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		examples.WriteString(unindented(string(code)))
+		examples.WriteString(trimIndent(string(code)))
 	}
-	found := listings(string(page))
+	found := goListings(string(page))
 	if len(found) == 0 {
-		t.Fatal("the page has no listings")
+		t.Fatal("the embedding guide has no Go listings")
 	}
 	for _, listing := range found {
-		if !strings.Contains(examples.String(), unindented(listing)) {
-			t.Errorf("in no example:\n%s", listing)
+		if !strings.Contains(examples.String(), trimIndent(listing)) {
+			t.Errorf("listing does not appear in any example:\n%s", listing)
 		}
 	}
 }
--- a/internal/layers/layers_test.go
+++ b/internal/layers/layers_test.go
@@ -10,22 +10,23 @@
 
 const module = "github.com/briarturn/briarturn/"
 
-// deciding lists the packages that decide and do no I/O: time, randomness and
-// peers are arguments, so that others can embed them beside any transport.
-var deciding = []string{
+// decisionPackages lists the packages that make decisions and do no I/O. They receive
+// time, randomness and peers as arguments, so that other programs can embed them with any
+// transport.
+var decisionPackages = []string{
 	"backend", "internal/table", "invariant", "placement", "quarantine", "request", "routing", "slo", "workspace",
 }
 
-// embeddable lists the other packages that stand without this project's
-// daemons, dev run and roles.
-var embeddable = []string{
+// embeddablePackages lists the other packages that can be used without this project's
+// daemons, development mode and roles.
+var embeddablePackages = []string{
 	"claim", "config", "declared", "engine", "internal/boottime", "internal/quiet", "internal/sleep", "lease", "membership", "objectapi", "replica", "wire", "wire/wirepb",
 }
 
-// doingIO lists what no deciding package imports.
-var doingIO = []string{"net", "net/http", "os", "os/exec", "log", "syscall"}
+// ioPackages lists the packages that no decision package may import.
+var ioPackages = []string{"net", "net/http", "os", "os/exec", "log", "syscall"}
 
-// importsOf returns what the non-test files of a package import.
+// importsOf returns the imports of the non-test files of a package.
 func importsOf(t *testing.T, pkg string) []string {
 	t.Helper()
 	p, err := build.ImportDir(filepath.Join("..", "..", filepath.FromSlash(pkg)), 0)
@@ -33,13 +34,13 @@
 		t.Fatal(err)
 	}
 	if len(p.GoFiles) == 0 {
-		t.Fatalf("%s has no files", pkg)
+		t.Fatalf("package %s has no Go files besides tests", pkg)
 	}
 	return p.Imports
 }
 
-// outside returns those packages of this module in imports that aren't allowed.
-func outside(imports, allowed []string) []string {
+// disallowed returns the imports that belong to this module and aren't in allowed.
+func disallowed(imports, allowed []string) []string {
 	var out []string
 	for _, path := range imports {
 		name, own := strings.CutPrefix(path, module)
@@ -50,31 +51,29 @@
 	return out
 }
 
-// Symptom: a program that embeds the routing decisions links an HTTP server, or
-// can't import them at all.
-// Sequence: a decision package takes a constant, a type or a conversion from a
-// package at the edge.
-// Cause: nothing fails until someone outside builds it. Each list is closed
-// under imports, so checking the direct ones checks all.
-func TestDecidingPackagesDoNoIO(t *testing.T) {
-	for _, pkg := range deciding {
+// Guards against a decision package that imports a constant, a type or a conversion from
+// a package that does I/O. A program that embeds the routing decisions would then link an
+// HTTP server, or could not import them at all, and nothing in this project would fail to
+// build. Each list is closed under imports, so checking direct imports is sufficient.
+func TestDecisionPackagesDoNoIO(t *testing.T) {
+	for _, pkg := range decisionPackages {
 		imports := importsOf(t, pkg)
-		for _, path := range outside(imports, deciding) {
-			t.Errorf("%s imports %s, which isn't a deciding package", pkg, path)
+		for _, path := range disallowed(imports, decisionPackages) {
+			t.Errorf("%s imports %s, which isn't a decision package", pkg, path)
 		}
 		for _, path := range imports {
-			if slices.Contains(doingIO, path) {
+			if slices.Contains(ioPackages, path) {
 				t.Errorf("%s imports %s", pkg, path)
 			}
 		}
 	}
 }
 
-// Symptom, sequence and cause are those of TestDecidingPackagesDoNoIO, with
-// roles, daemons and stand-ins in place of HTTP.
+// Guards against the same failure as TestDecisionPackagesDoNoIO for imports of roles,
+// daemons and stand-ins.
 func TestEmbeddablePackagesStandAlone(t *testing.T) {
-	for _, pkg := range embeddable {
-		for _, path := range outside(importsOf(t, pkg), slices.Concat(deciding, embeddable)) {
+	for _, pkg := range embeddablePackages {
+		for _, path := range disallowed(importsOf(t, pkg), slices.Concat(decisionPackages, embeddablePackages)) {
 			t.Errorf("%s imports %s, which isn't embeddable", pkg, path)
 		}
 	}
