--- a/internal/daemon/chaos.go
+++ b/internal/daemon/chaos.go
@@ -13,15 +13,16 @@
 )
 
 type chaosCommand struct {
-	For      time.Duration `arg:"--for" default:"60s" help:"how long faults come"`
-	Seed     uint64        `arg:"--seed" help:"of faults and load; drawn and printed if not given"`
-	Faults   []string      `arg:"--fault,separate" help:"kind to draw from, may be repeated; all by default"`
-	Rate     float64       `arg:"--rate" default:"30" help:"prompts/s beside as many probes"`
+	For      time.Duration `arg:"--for" default:"60s" help:"how long to inject faults and send load"`
+	Seed     uint64        `arg:"--seed" help:"random seed of faults and load, generated if not given; always printed"`
+	Faults   []string      `arg:"--fault,separate" help:"kind of fault to inject; repeatable, default all"`
+	Rate     float64       `arg:"--rate" default:"30" help:"prompts/s, and also probe calls/s"`
 	JSON     bool          `arg:"--json" help:"print JSON"`
 	LogLevel string        `arg:"--log-level" default:"error"`
 }
 
-// run makes one run and fails if anything was violated.
+// run makes one chaos run and returns an error if a check or an invariant was
+// violated.
 func (c *chaosCommand) run(ctx context.Context, e env) error {
 	log, err := newLogger(e.err, c.LogLevel, "text")
 	if err != nil {
@@ -31,7 +32,7 @@
 		c.Seed = uint64(time.Now().UnixNano())
 	}
 	fmt.Fprintln(e.err, "seed", c.Seed)
-	invariant.SetPanic(false) // a violation is counted and the run goes on
+	invariant.SetPanic(false) // violations are counted and the run continues
 	report, err := chaos.Run(ctx, chaos.Options{
 		Seed: c.Seed, For: c.For, Faults: c.Faults, Rate: c.Rate, Calls: c.Rate, Log: log,
 	})
--- a/internal/daemon/dev.go
+++ b/internal/daemon/dev.go
@@ -15,26 +15,26 @@
 	"github.com/briarturn/briarturn/invariant"
 )
 
-// devStartLimit bounds the start of the dev fleet, devDrainLimit its end.
+// devStartTimeout limits the start of the dev fleet, devDrainTimeout its drain.
 const (
-	devStartLimit = 30 * time.Second
-	devDrainLimit = 30 * time.Second
+	devStartTimeout = 30 * time.Second
+	devDrainTimeout = 30 * time.Second
 )
 
 type devCommand struct {
-	Example  string        `arg:"--example" default:"derwent" help:"derwent or atlas"`
-	Load     time.Duration `arg:"--load" help:"send the example's mix for so long, print the table and exit"`
+	Example  string        `arg:"--example" default:"derwent" help:"example to run: derwent or atlas"`
+	Load     time.Duration `arg:"--load" help:"send the example's request mix for this long, print the report and exit"`
 	Rate     float64       `arg:"--rate" default:"40" help:"requests/s with --load"`
 	Seed     uint64        `arg:"--seed" default:"1"`
 	Entries  int           `arg:"--entries" default:"3"`
-	Speed    float64       `arg:"--speed" default:"8" help:"how many times faster the stand-in engines are than declared"`
+	Speed    float64       `arg:"--speed" default:"8" help:"factor by which the stand-in engines exceed their declared rates"`
 	Policy   string        `arg:"--policy" help:"routing policy of the entries: cost, round-robin or least-load"`
-	Listen   string        `arg:"--listen" default:"127.0.0.1:8080" help:"address of the first entry; with --load a free port"`
+	Listen   string        `arg:"--listen" default:"127.0.0.1:8080" help:"address of the first entry; ignored with --load, which takes a free port"`
 	JSON     bool          `arg:"--json" help:"print JSON"`
 	LogLevel string        `arg:"--log-level" default:"warning"`
 }
 
-// run starts the fleet and either loads it or serves until ctx ends.
+// run starts the fleet and either sends load to it or serves until ctx ends.
 func (c *devCommand) run(ctx context.Context, e env) error {
 	invariant.SetPanic(true)
 	objects, err := examples.Objects(c.Example)
@@ -49,7 +49,7 @@
 	if c.Load > 0 {
 		cfg.FirstAddress = ""
 	}
-	startCtx, cancel := context.WithTimeout(ctx, devStartLimit)
+	startCtx, cancel := context.WithTimeout(ctx, devStartTimeout)
 	defer cancel()
 	fleet, err := dev.Start(startCtx, cfg)
 	if err != nil {
@@ -68,13 +68,13 @@
 	}
 	fmt.Fprintf(e.out, "%d backend servers; interrupt to drain and stop\n", len(fleet.Backends))
 	<-ctx.Done()
-	drainCtx, cancel := drainContext(devDrainLimit)
+	drainCtx, cancel := drainContext(devDrainTimeout)
 	defer cancel()
 	return fleet.Drain(drainCtx)
 }
 
-// load sends the example's mix, prints the report, and fails if an answer was
-// lost, doubled or crossed, or an invariant was violated.
+// load sends the example's request mix, prints the report and drains the fleet.
+// It returns an error if checkLoadRun does.
 func (c *devCommand) load(ctx context.Context, e env, fleet *dev.Fleet) error {
 	mix, err := load.LoadMix(c.Example)
 	if err != nil {
@@ -91,12 +91,12 @@
 	if err := c.print(e, report); err != nil {
 		return err
 	}
-	drainCtx, cancel := drainContext(devDrainLimit)
+	drainCtx, cancel := drainContext(devDrainTimeout)
 	defer cancel()
 	if err := fleet.Drain(drainCtx); err != nil {
 		return err
 	}
-	return verdict(fleet, report)
+	return checkLoadRun(fleet, report)
 }
 
 func (c *devCommand) print(e env, report *load.Report) error {
@@ -108,8 +108,9 @@
 	return report.WriteTable(e.out)
 }
 
-// verdict is what the exit code of a loaded dev run says.
-func verdict(fleet *dev.Fleet, report *load.Report) error {
+// checkLoadRun returns an error if an answer was lost, doubled or crossed, a
+// non-idempotent call ran more than once, or an invariant was violated.
+func checkLoadRun(fleet *dev.Fleet, report *load.Report) error {
 	if !report.Whole() {
 		return errors.New("an answer was lost, doubled or crossed: see the table")
 	}
--- a/internal/daemon/experiment.go
+++ b/internal/daemon/experiment.go
@@ -12,19 +12,19 @@
 )
 
 type experimentCommand struct {
-	Policies    []string      `arg:"--policy,separate" help:"cost, round-robin, least-load, or direct for no system at all; repeatable, default all"`
-	Mixes       []string      `arg:"--mix,separate" help:"derwent, atlas or derwent-flood; repeatable, default the first two"`
-	Factors     []float64     `arg:"--factor,separate" help:"offered load over the fleet's capacity; repeatable, default 0.5, 0.8 and 1.1"`
-	For         time.Duration `arg:"--for" default:"30s" help:"length of each of a case's two runs"`
+	Policies    []string      `arg:"--policy,separate" help:"cost, round-robin, least-load, or direct to bypass the system and send to the engines in turn; repeatable, default all"`
+	Mixes       []string      `arg:"--mix,separate" help:"request mix: derwent, atlas or derwent-flood; repeatable, default the first two"`
+	Factors     []float64     `arg:"--factor,separate" help:"offered load divided by the fleet's capacity; repeatable, default 0.5, 0.8 and 1.1"`
+	For         time.Duration `arg:"--for" default:"30s" help:"duration of each of the two runs of a case"`
 	Seed        uint64        `arg:"--seed" default:"7"`
-	PrefillRate float64       `arg:"--prefill-rate" default:"40000" help:"tokens/s of an engine"`
-	Chunk       int           `arg:"--chunk" default:"512" help:"prefill tokens in one step of an engine"`
-	Flood       bool          `arg:"--flood" help:"the first run is of all workspaces but the first, rather than of the short requests"`
+	PrefillRate float64       `arg:"--prefill-rate" default:"40000" help:"prefill tokens/s of an engine"`
+	Chunk       int           `arg:"--chunk" default:"512" help:"prefill tokens per engine step"`
+	Flood       bool          `arg:"--flood" help:"in the first run, send the requests of all workspaces except the first instead of the short requests"`
 	Detail      bool          `arg:"--detail" help:"print the full report and the counters of each case"`
 	LogLevel    string        `arg:"--log-level" default:"error"`
 }
 
-// run compares routing policies, each case on a fleet of its own.
+// run compares routing policies and runs each case on its own fleet.
 func (c *experimentCommand) run(ctx context.Context, e env) error {
 	invariant.SetPanic(true)
 	log, err := newLogger(e.err, c.LogLevel, "text")
@@ -81,7 +81,7 @@
 		}
 	}
 	if x.For <= 0 || !(x.Engine.PrefillRate > 0) || x.Engine.ChunkTokens <= 0 {
-		return errors.NotValidf("length, prefill rate or chunk of 0 or less")
+		return errors.NotValidf("duration, prefill rate or chunk size of 0 or less")
 	}
 	return nil
 }
--- a/internal/daemon/log.go
+++ b/internal/daemon/log.go
@@ -7,11 +7,12 @@
 	"github.com/sirupsen/logrus"
 )
 
-// timestamps are to the millisecond: lines of several processes are put in order by
-// them, and a request takes fractions of a second.
-const timestamps = "2006-01-02T15:04:05.000Z07:00"
+// timestampFormat has millisecond precision: log lines of several processes are
+// sorted by timestamp, and a request takes fractions of a second.
+const timestampFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// newLogger returns a logger of a level and a format, json or text.
+// newLogger returns a logger that writes to out at the given level, in the format
+// json or text.
 func newLogger(out io.Writer, level, format string) (*logrus.Logger, error) {
 	parsed, err := logrus.ParseLevel(level)
 	if err != nil {
@@ -21,7 +22,7 @@
 	log.SetOutput(out)
 	log.SetLevel(parsed)
 	if format == "json" {
-		log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: timestamps})
+		log.SetFormatter(&logrus.JSONFormatter{TimestampFormat: timestampFormat})
 	}
 	return log, nil
 }
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -1,5 +1,5 @@
-// Package daemon is the logic behind briarturnd: it parses the command line,
-// loads settings, runs a role until it is told to stop, and drains it.
+// Package daemon implements the briarturnd command: it parses the command line,
+// loads the settings, runs a role until it is stopped, and drains it.
 package daemon
 
 import (
@@ -15,19 +15,19 @@
 // Exit codes.
 const (
 	ExitOK     = 0
-	ExitFailed = 1 // it ran and failed, or a check of its work did
-	ExitUsage  = 2 // the command line or the settings file is wrong
+	ExitFailed = 1 // the command failed, or a check of its result did
+	ExitUsage  = 2 // invalid command line or settings file
 )
 
-// errUsage marks faults of the command line or the settings.
+// errUsage marks errors in the command line or the settings. They lead to ExitUsage.
 const errUsage = errors.ConstError("usage")
 
 type arguments struct {
 	Run        *runCommand        `arg:"subcommand:run" help:"run a role from a settings file"`
-	Check      *checkCommand      `arg:"subcommand:check" help:"check a settings file and print every fault"`
+	Check      *checkCommand      `arg:"subcommand:check" help:"check a settings file and print every error"`
 	Dev        *devCommand        `arg:"subcommand:dev" help:"run the whole system with stand-ins in one process"`
-	Chaos      *chaosCommand      `arg:"subcommand:chaos" help:"run the whole system under load and random faults, and check what must hold"`
-	Experiment *experimentCommand `arg:"subcommand:experiment" help:"measure routing policies side by side"`
+	Chaos      *chaosCommand      `arg:"subcommand:chaos" help:"run the whole system under load and random faults, and report violated checks and invariants"`
+	Experiment *experimentCommand `arg:"subcommand:experiment" help:"compare routing policies"`
 	Standin    *standinCommand    `arg:"subcommand:standin" help:"run a stand-in of the platform, an engine or a service"`
 }
 
@@ -42,12 +42,12 @@
   briarturnd dev --load 20s                      the derwent example under load
   briarturnd dev --example atlas                 serve until interrupted
   briarturnd experiment --mix derwent            all policies at three loads
-  briarturnd check entry.json                    print every fault of a file
+  briarturnd check entry.json                    print every error of a file
   briarturnd run entry.json                      an entry or an agent
   briarturnd standin engine --listen 127.0.0.1:9001
 
-SIGTERM or an interrupt drains: nothing in progress is cut off until the drain
-timeout. Exit codes: 0 ok, 1 failed, 2 wrong command line or settings.`
+SIGTERM or an interrupt drains: requests in progress are not aborted before the
+drain timeout. Exit codes: 0 ok, 1 failed, 2 invalid command line or settings.`
 }
 
 type checkCommand struct {
@@ -58,13 +58,13 @@
 	File string `arg:"positional,required,env:BRIARTURN_BOOT" help:"settings file"`
 }
 
-// Env is what a command may touch.
+// env holds the output streams of a command.
 type env struct {
 	out, err io.Writer
 }
 
-// Main runs the command line until it ends or ctx does, and returns the exit
-// code.
+// Main runs the command given by args until it finishes or ctx ends, and returns
+// the exit code.
 func Main(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	var parsed arguments
 	parser, err := arg.NewParser(arg.Config{Program: "briarturnd"}, &parsed)
@@ -115,8 +115,8 @@
 	return ExitFailed
 }
 
-// drainContext bounds a drain. It does not follow the context whose end began
-// the drain.
-func drainContext(limit time.Duration) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(context.Background(), limit)
+// drainContext returns a context that limits a drain. It is not derived from the
+// context whose end starts the drain.
+func drainContext(timeout time.Duration) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(context.Background(), timeout)
 }
--- a/internal/daemon/mapping_test.go
+++ b/internal/daemon/mapping_test.go
@@ -18,23 +18,23 @@
 )
 
 const (
-	mappedCommon = `"name":"vm-1","zone":"z","region":"r","platform":{"address":"http://10.0.0.9:80"},
+	commonSettings = `"name":"vm-1","zone":"z","region":"r","platform":{"address":"http://10.0.0.9:80"},
 		"listen":{"rpc":"10.0.0.1:1","datagram":"10.0.0.1:2","admin":"10.0.0.1:3"`
-	mappedEntry = `{"role":"entry",` + mappedCommon + `,"http":"10.0.0.1:4"}}`
-	mappedAgent = `{"role":"agent",` + mappedCommon + `},"agent":{"address":"10.0.0.1:8000","pool":"p",
+	entrySettings = `{"role":"entry",` + commonSettings + `,"http":"10.0.0.1:4"}}`
+	agentSettings = `{"role":"agent",` + commonSettings + `},"agent":{"address":"10.0.0.1:8000","pool":"p",
 		"models":["m"],"prefill_rate":1,"decode_rate":1,"memory_tokens":1,"seeds":["10.0.0.2:1"]}}`
-	mappedGateway = `{"role":"gateway","name":"vm-1","zone":"z","region":"r","platform":{"address":"http://10.0.0.9:80"},
+	gatewaySettings = `{"role":"gateway","name":"vm-1","zone":"z","region":"r","platform":{"address":"http://10.0.0.9:80"},
 		"listen":{"http":"10.0.0.1:4","ready":"10.0.0.1:5","datagram":"10.0.0.1:2","admin":"10.0.0.1:3"}}`
 )
 
-// refused are fields that a valid file of a role can't have.
-var refused = map[settings.Role]map[string]bool{
+// disallowedFields lists the fields that a valid settings file of a role can't have.
+var disallowedFields = map[settings.Role]map[string]bool{
 	settings.RoleEntry: {"Listen.Ready": true},
 	settings.RoleAgent: {"Listen.HTTP": true, "Listen.Ready": true},
 }
 
-// effects is all that a process makes of its settings.
-type effects struct {
+// derivedConfig holds all configuration that a process derives from its settings.
+type derivedConfig struct {
 	Entry   node.EntryConfig
 	Agent   node.AgentConfig
 	Gateway gatewaynode.Config
@@ -45,32 +45,31 @@
 	Sampler gateway.Sampler
 }
 
-func effectsOf(t *testing.T, s *settings.Settings) effects {
+func deriveConfig(t *testing.T, s *settings.Settings) derivedConfig {
 	t.Helper()
 	log, err := newLogger(io.Discard, s.Log.Level, s.Log.Format)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, json := log.Formatter.(*logrus.JSONFormatter)
-	e := effects{Store: storeConfig(s, nil, nil), Drain: drainLimit(s), Level: log.Level, JSON: json}
-	e.Sampler = samplerOf(s, nil)
+	e := derivedConfig{Store: storeConfig(s, nil, nil), Drain: drainTimeout(s), Level: log.Level, JSON: json}
+	e.Sampler = newSampler(s, nil)
 	switch s.Role {
 	case settings.RoleEntry:
 		e.Entry = entryConfig(s, nil, nil, nil)
 	case settings.RoleGateway:
 		e.Gateway = gatewayConfig(s, nil, nil, nil)
-		e.Gateway.Decoder, e.Gateway.Engines = gatewaynode.Decoder{}, nil // functions are never equal
+		e.Gateway.Decoder, e.Gateway.Engines = gatewaynode.Decoder{}, nil // non-nil functions are never deeply equal
 	default:
 		e.Agent = agentConfig(s, nil, nil, nil)
 	}
 	return e
 }
 
-// Symptom: an operator changes a setting and nothing changes.
-// Sequence: the file is read and found valid; the process starts.
-// Cause: a key that no configuration of a node is made from.
-func TestEverySettingReachesTheNode(t *testing.T) {
-	for _, file := range []string{mappedEntry, mappedAgent, mappedGateway} {
+// Guards against a settings key that is valid but has no effect, because no
+// configuration of a node is derived from it.
+func TestEverySettingHasAnEffect(t *testing.T) {
+	for _, file := range []string{entrySettings, agentSettings, gatewaySettings} {
 		parse := func() *settings.Settings {
 			s, err := settings.Parse([]byte(file))
 			if err != nil {
@@ -78,31 +77,31 @@
 			}
 			return s
 		}
-		before := effectsOf(t, parse())
-		for _, path := range leaves(reflect.ValueOf(parse()).Elem(), nil) {
+		before := deriveConfig(t, parse())
+		for _, path := range leafFields(reflect.ValueOf(parse()).Elem(), nil) {
 			s := parse()
-			name := change(t, reflect.ValueOf(s).Elem(), path)
-			if refused[s.Role][name] || name == "Role" {
-				continue // the files differ in the role
+			name := changeField(t, reflect.ValueOf(s).Elem(), path)
+			if disallowedFields[s.Role][name] || name == "Role" {
+				continue // each file is of another role
 			}
-			if reflect.DeepEqual(before, effectsOf(t, s)) {
+			if reflect.DeepEqual(before, deriveConfig(t, s)) {
 				t.Errorf("%s: %s has no effect", s.Role, name)
 			}
 		}
 	}
 }
 
-// leaves returns the index paths of all fields that are no sections.
-func leaves(v reflect.Value, at []int) [][]int {
+// leafFields returns the index paths of all fields that are not sections.
+func leafFields(v reflect.Value, prefix []int) [][]int {
 	var out [][]int
 	for i := range v.NumField() {
-		path := append(append([]int(nil), at...), i)
+		path := append(append([]int(nil), prefix...), i)
 		field := v.Field(i)
 		if field.Kind() == reflect.Pointer && field.IsNil() {
-			continue // the other role's section
+			continue // section of another role
 		}
 		if field = reflect.Indirect(field); field.Kind() == reflect.Struct {
-			out = append(out, leaves(field, path)...)
+			out = append(out, leafFields(field, path)...)
 			continue
 		}
 		out = append(out, path)
@@ -110,8 +109,8 @@
 	return out
 }
 
-// change gives the field another value and returns its name.
-func change(t *testing.T, v reflect.Value, path []int) string {
+// changeField sets the field at path to another value and returns its name.
+func changeField(t *testing.T, v reflect.Value, path []int) string {
 	t.Helper()
 	var names []string
 	for _, i := range path {
@@ -122,7 +121,7 @@
 	name := strings.Join(names, ".")
 	switch v.Kind() {
 	case reflect.String:
-		v.SetString(otherText(name, v.String()))
+		v.SetString(otherString(name, v.String()))
 	case reflect.Bool:
 		v.SetBool(!v.Bool())
 	case reflect.Int, reflect.Int64:
@@ -136,18 +135,18 @@
 		other.SetMapIndex(reflect.ValueOf("other"), reflect.ValueOf("other"))
 		v.Set(other)
 	default:
-		t.Fatalf("%s is of a kind that this test can't change: %s", name, v.Kind())
+		t.Fatalf("changeField does not support field %s of kind %s", name, v.Kind())
 	}
 	return name
 }
 
-// otherText is another valid value where not every text is one.
-func otherText(name, now string) string {
+// otherString returns a string other than current that is valid for the field.
+func otherString(name, current string) string {
 	switch name {
 	case "Log.Level":
 		return "debug"
 	case "Log.Format":
 		return "text"
 	}
-	return fmt.Sprintf("%s-other", now)
+	return fmt.Sprintf("%s-other", current)
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -13,12 +13,12 @@
 	"github.com/briarturn/briarturn/settings"
 )
 
-// Symptom: a process ends with code 129 and cuts its requests.
-// Sequence: it runs; SIGHUP tells it that its settings file has changed.
-// Cause: a program that does not take the signal is ended by it.
+// Guards against a process that exits with code 129 and aborts its requests when
+// SIGHUP reports a changed settings file: the signal terminates a program that does
+// not handle it.
 func TestSighupReloadsTheSettings(t *testing.T) {
-	path := write(t, mappedEntry)
-	log, lines := logrustest.NewNullLogger()
+	path := writeSettings(t, entrySettings)
+	log, hook := logrustest.NewNullLogger()
 	r, err := newReloader(path, log)
 	if err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
 	go r.run(ctx)
-	changed := `{"role":"entry","name":"vm-2",` + mappedEntry[len(`{"role":"entry","name":"vm-1",`):]
+	changed := `{"role":"entry","name":"vm-2",` + entrySettings[len(`{"role":"entry","name":"vm-1",`):]
 	if err := os.WriteFile(path, []byte(changed), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -38,34 +38,33 @@
 	select {
 	case s := <-applied:
 		if s.Name != "vm-2" {
-			t.Errorf("name %s in force", s.Name)
+			t.Errorf("applied settings with name %s", s.Name)
 		}
 	case <-ctx.Done():
 		t.Fatal("the change was not applied")
 	}
-	for _, l := range lines.AllEntries() {
+	for _, l := range hook.AllEntries() {
 		if l.Level <= logrus.WarnLevel {
-			t.Errorf("logged: %s", l.Message)
+			t.Errorf("unexpected log line: %s", l.Message)
 		}
 	}
 }
 
-// Symptom: after a typing error in the settings a process stops serving.
-// Sequence: the file changes to one with faults.
-// Cause: what is in force must stay until there is a file without faults.
-func TestFaultySettingsChangeNothing(t *testing.T) {
-	path := write(t, mappedEntry)
-	log, lines := logrustest.NewNullLogger()
+// Guards against a process that stops serving after a typing error in its settings:
+// the current settings must stay in force until the file is valid.
+func TestInvalidSettingsAreNotApplied(t *testing.T) {
+	path := writeSettings(t, entrySettings)
+	log, hook := logrustest.NewNullLogger()
 	r, err := newReloader(path, log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.apply = func(*settings.Settings) { t.Error("faulty settings were applied") }
+	r.apply = func(*settings.Settings) { t.Error("invalid settings were applied") }
 	if err := os.WriteFile(path, []byte(`{"role":"entry"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	r.look(true)
-	if e := lines.LastEntry(); e == nil || e.Level != logrus.WarnLevel {
-		t.Errorf("logged: %v", e)
+	r.reloadIfChanged(true)
+	if e := hook.LastEntry(); e == nil || e.Level != logrus.WarnLevel {
+		t.Errorf("last log line is %v, want a warning", e)
 	}
 }
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -25,7 +25,7 @@
 	"github.com/briarturn/briarturn/upstream"
 )
 
-// runner is a role that was started.
+// runner is a running role.
 type runner interface {
 	DrainAndWait(ctx context.Context) error
 	Close()
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// loadSettings reads a settings file; an error lists every fault by its path.
+// loadSettings reads a settings file. Its error lists every invalid key by its path.
 func loadSettings(path string) (*settings.Settings, error) {
 	s, err := settings.Load(path)
 	if err != nil {
@@ -49,7 +49,7 @@
 	return s, nil
 }
 
-// run starts the role, waits for ctx to end, drains and stops.
+// run starts the role, waits for ctx to end, then drains and stops the role.
 func (c *runCommand) run(ctx context.Context, e env) error {
 	s, err := loadSettings(c.File)
 	if err != nil {
@@ -61,58 +61,59 @@
 	if err != nil {
 		return err
 	}
-	log := logger.WithField("node", s.Name) // lines of several processes are read together
-	// In production a violated invariant is counted and logged; going on is
-	// better than dropping every request in progress.
+	log := logger.WithField("node", s.Name) // log lines of several processes are read together
+	// In production a violated invariant is counted and logged: a panic would drop
+	// every request in progress.
 	invariant.SetPanic(false)
 	invariant.SetViolationHandler(func(name, detail string) {
 		log.WithField("invariant", name).Error(detail)
 	})
 	node.LimitGarbage()
-	hangups, err := newReloader(c.File, log)
+	reload, err := newReloader(c.File, log)
 	if err != nil {
 		return err
 	}
-	r, drain, err := start(s, log, samplerOf(s, lines), hangups)
+	r, drain, err := startRole(s, log, newSampler(s, lines), reload)
 	if err != nil {
 		return err
 	}
 	defer r.Close()
-	looking, stopLooking := context.WithCancel(context.Background())
-	defer stopLooking()
-	go hangups.run(looking)
+	reloadCtx, stopReload := context.WithCancel(context.Background())
+	defer stopReload()
+	go reload.run(reloadCtx)
 	log.WithFields(logrus.Fields{"role": s.Role, "zone": s.Zone}).Info("started")
 	<-ctx.Done()
 	log.WithField("limit", drain).Info("draining")
-	limited, cancel := drainContext(drain)
+	drainCtx, cancel := drainContext(drain)
 	defer cancel()
-	if err := r.DrainAndWait(limited); err != nil {
+	if err := r.DrainAndWait(drainCtx); err != nil {
 		return err
 	}
 	log.Info("drained")
 	return nil
 }
 
-// start starts the role of the settings and returns it with its drain limit.
-func start(s *settings.Settings, log logrus.FieldLogger, sampler gateway.Sampler, hangups *reloader) (runner, time.Duration, error) {
+// startRole starts the role given in the settings and returns it with its drain
+// timeout.
+func startRole(s *settings.Settings, log logrus.FieldLogger, sampler gateway.Sampler, reload *reloader) (runner, time.Duration, error) {
 	registry := metrics.NewRegistry()
 	store, err := platform.NewStoreClient(storeConfig(s, log, registry))
 	if err != nil {
 		return nil, 0, errors.Annotatef(err, "step start, peer %s", s.Platform.Address)
 	}
-	hangups.apply = func(changed *settings.Settings) { applyChange(changed, store, log) }
+	reload.apply = func(changed *settings.Settings) { applySettings(changed, store, log) }
 	if s.Role == settings.RoleEntry {
 		r, err := node.StartEntry(entryConfig(s, store, log, registry))
-		return r, drainLimit(s), err
+		return r, drainTimeout(s), err
 	}
 	if s.Role == settings.RoleGateway {
 		c := gatewayConfig(s, store, log, registry)
 		c.Sampler = sampler
 		r, err := gatewaynode.Start(c)
-		return r, drainLimit(s), err
+		return r, drainTimeout(s), err
 	}
 	r, err := node.StartAgent(agentConfig(s, store, log, registry))
-	return r, drainLimit(s), err
+	return r, drainTimeout(s), err
 }
 
 func storeConfig(s *settings.Settings, log logrus.FieldLogger, r metrics.Registry) platform.StoreConfig {
@@ -126,16 +127,17 @@
 	}
 }
 
-// samplerOf returns what thins out a gateway's log; nil for other roles.
-func samplerOf(s *settings.Settings, lines *logqueue.Queue) gateway.Sampler {
+// newSampler returns the sampler that limits the routine lines in a gateway's log,
+// or nil for other roles.
+func newSampler(s *settings.Settings, lines *logqueue.Queue) gateway.Sampler {
 	if s.Role != settings.RoleGateway {
 		return nil
 	}
 	return logqueue.NewSampler(lines, s.Gateway.RoutineLines)
 }
 
-// drainLimit is how long work in progress may take after SIGTERM.
-func drainLimit(s *settings.Settings) time.Duration {
+// drainTimeout returns how long work in progress may take to finish after SIGTERM.
+func drainTimeout(s *settings.Settings) time.Duration {
 	switch s.Role {
 	case settings.RoleEntry:
 		return time.Duration(s.Entry.Timeouts.Drain)
@@ -267,10 +269,10 @@
 	}
 }
 
-// applyChange puts in force what can change while a process runs: where the object
-// API is. The rest holds until the next start.
-func applyChange(s *settings.Settings, store *platform.StoreClient, log logrus.FieldLogger) {
+// applySettings applies the one setting that can change while a process runs, the
+// address of the object API. All others take effect at the next start.
+func applySettings(s *settings.Settings, store *platform.StoreClient, log logrus.FieldLogger) {
 	if err := store.SetAddress(s.Platform.Address); err != nil {
-		log.WithError(err).Warn("the object API stays where it was")
+		log.WithError(err).Warn("failed to change the object API address; keeping the current one")
 	}
 }
--- a/internal/daemon/standin.go
+++ b/internal/daemon/standin.go
@@ -17,14 +17,14 @@
 	platformstandin "github.com/briarturn/briarturn/platform/standin"
 )
 
-// standinHeaderTimeout bounds how long a stand-in waits for request headers.
+// standinHeaderTimeout limits how long a stand-in waits for request headers.
 const standinHeaderTimeout = 10 * time.Second
 
 type standinCommand struct {
 	Platform *listenCommand  `arg:"subcommand:platform" help:"the object API"`
 	Engine   *engineCommand  `arg:"subcommand:engine" help:"a model engine"`
 	Service  *listenCommand  `arg:"subcommand:service" help:"a plain service"`
-	Backend  *backendCommand `arg:"subcommand:backend" help:"a backend server of the users' platform, which prints each request that reaches it"`
+	Backend  *backendCommand `arg:"subcommand:backend" help:"a backend server of the users' platform that prints each request it receives"`
 }
 
 type backendCommand struct {
@@ -38,10 +38,10 @@
 
 type engineCommand struct {
 	Listen        string   `arg:"--listen,required" placeholder:"IP:PORT"`
-	Models        []string `arg:"--model,separate" help:"may be repeated"`
+	Models        []string `arg:"--model,separate" help:"name of a served model; repeatable"`
 	PrefillRate   float64  `arg:"--prefill-rate" help:"tokens/s"`
 	MemoryTokens  int      `arg:"--memory-tokens"`
-	KillMarker    string   `arg:"--kill-marker" help:"a prompt that contains it kills the engine"`
+	KillMarker    string   `arg:"--kill-marker" help:"text that kills the engine if a prompt contains it"`
 	ChecksFencing bool     `arg:"--checks-fencing"`
 }
 
@@ -60,7 +60,7 @@
 func (c *standinCommand) start(out io.Writer) (address string, stop func(), err error) {
 	switch {
 	case c.Platform != nil:
-		return servePlatform(c.Platform.Listen)
+		return startPlatform(c.Platform.Listen)
 	case c.Engine != nil:
 		s, address, err := standinengine.StartOn(c.Engine.config(), c.Engine.Listen)
 		if err != nil {
@@ -77,9 +77,9 @@
 	if c.Backend != nil {
 		backend := platformstandin.NewBackend(c.Backend.Instance, out)
 		backend.SetColdOverloadHandler(func() { os.Exit(ExitFailed) })
-		return serve(c.Backend.Listen, backend)
+		return startHTTPServer(c.Backend.Listen, backend)
 	}
-	return "", nil, errors.WithType(errors.New("name one of platform, engine, service and backend"), errUsage)
+	return "", nil, errors.WithType(errors.New("missing kind of stand-in: platform, engine, service or backend"), errUsage)
 }
 
 func (c *engineCommand) config() standinengine.Config {
@@ -92,11 +92,11 @@
 	}
 }
 
-func servePlatform(listen string) (string, func(), error) {
-	return serve(listen, platformstandin.Handler(standinobjectapi.NewMemory(standinobjectapi.Config{})))
+func startPlatform(listen string) (string, func(), error) {
+	return startHTTPServer(listen, platformstandin.Handler(standinobjectapi.NewMemory(standinobjectapi.Config{})))
 }
 
-func serve(listen string, h http.Handler) (string, func(), error) {
+func startHTTPServer(listen string, h http.Handler) (string, func(), error) {
 	lis, err := net.Listen("tcp", listen)
 	if err != nil {
 		return "", nil, err
