--- a/internal/graceful/conn.go
+++ b/internal/graceful/conn.go
@@ -10,29 +10,30 @@
 	"github.com/juju/errors"
 )
 
-// errNotified ends the http.Server's reading of a notified connection. It is a read
-// error of the network, which the http.Server answers with nothing.
-var errNotified = &net.OpError{Op: "read", Net: "tcp", Err: errors.New("the connection was notified that no request is read from it")}
+// errRefused is returned by reads of a refused connection. It is a network read error,
+// for which the http.Server closes the connection without writing a response.
+var errRefused = &net.OpError{Op: "read", Net: "tcp", Err: errors.New("no further request is read from this connection")}
 
-// conn is a connection that can be notified between two requests.
+// conn is a connection that can refuse further requests once it handles none.
 type conn struct {
 	net.Conn
 	server *Server
 	opened time.Time
 
-	mu       sync.Mutex // guards all below
-	reading  bool       // the http.Server waits for bytes
-	begun    bool       // bytes have come
-	active   bool       // a request has been read and its answer isn't written yet
-	ending   bool       // to be notified before another request is read
-	notified bool       // no request is read any more
-	expired  bool       // notified since no whole head came in time
+	mu           sync.Mutex // guards the fields below
+	reading      bool       // the http.Server is blocked in Read
+	received     bool       // at least one byte was read
+	active       bool       // a request is being handled: its header was read, its response isn't written yet
+	shuttingDown bool       // refuse before the next request is read
+	refused      bool       // no further request is read
+	headTimedOut bool       // refused because no complete header arrived in time
 
-	refuse sync.Once
+	refusalOnce sync.Once
 }
 
-// note follows the http.Server: a request counts from its whole head on.
-func (c *conn) note(state http.ConnState) {
+// setState records the state that the http.Server reports. A request is active once its
+// complete header was read.
+func (c *conn) setState(state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch state {
@@ -43,17 +44,17 @@
 	}
 }
 
-// Read implements net.Conn for the http.Server, which gets no bytes of a request that
-// begins, or goes on before its head is whole, after the connection was notified.
+// Read implements net.Conn. Once the connection is refused, it returns no bytes of a
+// request to the http.Server, also not the rest of an incomplete header.
 func (c *conn) Read(p []byte) (int, error) {
 	if !c.beginRead() {
-		c.notify(0)
-		return 0, errNotified
+		c.refuse(0)
+		return 0, errRefused
 	}
 	n, err := c.Conn.Read(p)
 	if !c.endRead(n, err) {
-		c.notify(n)
-		return 0, errNotified
+		c.refuse(n)
+		return 0, errRefused
 	}
 	return n, err
 }
@@ -61,90 +62,93 @@
 func (c *conn) beginRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ending && !c.active && !c.awaitsFirst() {
-		c.notified = true
+	if c.shuttingDown && !c.active && !c.awaitsFirstRequest() {
+		c.refused = true
 	}
-	c.reading = !c.notified
+	c.reading = !c.refused
 	return c.reading
 }
 
-// endRead reports whether the http.Server may go on. Where its time limit for a
-// request's head has passed, a request may be on its way as it may at the end.
+// endRead reports whether the http.Server may continue with the connection. When its
+// header or idle timeout has passed, a request may be in transit just as at shutdown, so
+// that the connection is refused then too.
 func (c *conn) endRead(n int, err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reading = false
-	c.begun = c.begun || n > 0
+	c.received = c.received || n > 0
 	switch {
-	case c.notified || c.active:
-	case c.ending:
-		c.notified = true
+	case c.refused || c.active:
+	case c.shuttingDown:
+		c.refused = true
 	case isTimeout(err):
-		c.notified, c.expired = true, true
+		c.refused, c.headTimedOut = true, true
 	}
-	return !c.notified
+	return !c.refused
 }
 
-// end has the connection notified: now, when its request is answered, or when its first
-// request has come.
-func (c *conn) end() {
+// shutdown makes the connection refuse further requests: immediately, after the response
+// to its active request, or after its first request has arrived.
+func (c *conn) shutdown() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ending = true
-	if c.active || !c.reading || c.awaitsFirst() {
+	c.shuttingDown = true
+	if c.active || !c.reading || c.awaitsFirstRequest() {
 		return
 	}
-	c.notified = true
-	// Wakes the Read, which notifies; it waits for c.mu, so that this deadline doesn't
-	// outlast that.
-	_ = c.SetReadDeadline(time.Unix(1, 0)) // fails on a closed connection, whose Read ends too
+	c.refused = true
+	// Unblocks Read, which sends the refusal. Read needs c.mu first, so that this deadline
+	// is set before refuseAndDrain sets its own.
+	_ = c.SetReadDeadline(time.Unix(1, 0)) // fails only on a closed connection, whose Read returns too
 }
 
-// awaitsFirst reports whether the connection is so new that its first request is given
-// time to come, and sets that time. An HTTP client that opens a connection for a request
-// fails it when an answer is there before. c.mu is held.
-func (c *conn) awaitsFirst() bool {
-	until := c.opened.Add(c.server.waits.first)
-	if c.begun || !time.Now().Before(until) {
+// awaitsFirstRequest reports whether the connection is still within the time allowed for
+// its first request, and if so sets the read deadline to the end of that time. An HTTP
+// client that opens a connection for a request fails the request if a response arrives
+// before it is sent. c.mu is held.
+func (c *conn) awaitsFirstRequest() bool {
+	until := c.opened.Add(c.server.timeouts.firstRequest)
+	if c.received || !time.Now().Before(until) {
 		return false
 	}
-	_ = c.SetReadDeadline(until) // fails on a closed connection, whose Read ends too
+	_ = c.SetReadDeadline(until) // fails only on a closed connection, whose Read returns too
 	return true
 }
 
-// isCut reports whether closing the connection now cuts a request.
-func (c *conn) isCut() bool {
+// isHandling reports whether closing the connection now would interrupt a request.
+func (c *conn) isHandling() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.active && !c.notified
+	return c.active && !c.refused
 }
 
-// notify refuses whatever request is on its way, once.
-func (c *conn) notify(unread int) { c.refuse.Do(func() { c.refuseAndAwait(unread) }) }
+// refuse sends the refusal once; unread is the number of bytes read but not handled.
+func (c *conn) refuse(unread int) { c.refusalOnce.Do(func() { c.refuseAndDrain(unread) }) }
 
-// refuseAndAwait sends the refusal and reads the connection until the caller closes
-// it: closing with bytes unread would reset it under the refusal.
-func (c *conn) refuseAndAwait(unread int) {
-	_ = c.SetDeadline(time.Now().Add(c.server.waits.close)) // fails as what follows does
-	seen := ended{notified: 1}
-	if err := c.sayRefusal(); err == nil {
+// refuseAndDrain sends the refusal and discards input until the caller closes the
+// connection. Closing it with unread bytes would reset it, and the caller could lose the
+// refusal.
+func (c *conn) refuseAndDrain(unread int) {
+	_ = c.SetDeadline(time.Now().Add(c.server.timeouts.peerClose)) // if it fails, the write below fails too
+	seen := connStats{refused: 1}
+	if err := c.writeRefusal(); err == nil {
 		n, err := io.Copy(io.Discard, struct{ io.Reader }{c.Conn})
 		unread += int(n)
 		if err != nil && isTimeout(err) {
-			seen.open = 1
+			seen.leftOpen = 1
 		}
 	}
 	if unread > 0 {
-		seen.crossed = 1
+		seen.crossing = 1
 	}
-	if c.server.isEnding() {
-		c.server.count(seen)
+	if c.server.isShuttingDown() {
+		c.server.addStats(seen)
 	}
 }
 
-// sayRefusal sends the refusal and closes the connection for writing. It fails where
-// the caller has gone, who needs none.
-func (c *conn) sayRefusal() error {
+// writeRefusal sends the refusal and closes the connection for writing. An error means
+// that the caller has disconnected and needs no refusal.
+func (c *conn) writeRefusal() error {
 	if _, err := c.Write(c.refusal()); err != nil {
 		return err
 	}
@@ -158,16 +162,16 @@
 func (c *conn) refusal() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.expired {
-		return c.server.tooLate
+	if c.headTimedOut {
+		return c.server.headTimeoutResponse
 	}
-	return c.server.refusal
+	return c.server.refusalResponse
 }
 
 // Close implements net.Conn.
 func (c *conn) Close() error {
 	err := c.Conn.Close()
-	c.server.remove(c)
+	c.server.untrack(c)
 	return err
 }
 
--- a/internal/graceful/doc.go
+++ b/internal/graceful/doc.go
@@ -1,20 +1,21 @@
-// Package graceful ends an HTTP/1.1 server so that each request that a caller has
-// sent on an open connection gets an answer.
+// Package graceful shuts down an HTTP/1.1 server so that each request that a caller has
+// sent on an open connection gets a response.
 //
-// A connection on which no request is being handled may have one on its way: in the
-// kernel, in the network, or half read. Closing it leaves the caller to guess
-// whether that request has run. So a connection is first notified: it gets the answer
-// that refuses a request, is closed for writing, and is read to its end without
-// another request being handled. A request that crosses the refusal has it for an
-// answer, and a caller that sent none sees a connection that it can't use again.
+// A connection that handles no request may still have one in transit: in a kernel
+// buffer, in the network, or partly read. If the server closed it, the caller couldn't
+// tell whether that request has run. So the server first refuses the connection: it sends
+// the response that refuses a request, closes the connection for writing, and discards
+// its input until the caller closes it, without handling another request. A request that
+// crosses the refusal on the network gets it as its response, and a caller that sent none
+// sees a connection that it can't reuse.
 //
 // Guarantees:
-//   - No request is handled on a connection after it was notified.
-//   - A request that is handled gets its answer before its connection is notified.
-//   - Shutdown returns when every caller has closed its side, so that none sends on
-//     a connection of this server to whoever listens on the address next. A caller
-//     that doesn't close is waited for a second, and nobody longer than the context.
+//   - No request is handled on a connection after it was refused.
+//   - A request that is handled gets its response before its connection is refused.
+//   - Shutdown returns when every caller has closed its side, so that none sends on a
+//     connection of this server to the next process that listens on the address. It waits
+//     for a caller that doesn't close for one second, and never longer than the context.
 //
-// What it can't cover: a connection that the kernel opens between the last accept
-// and the listener's close is reset. Take the address out of the balancer first.
+// Not covered: a connection that the kernel accepts between the last Accept and the close
+// of the listener is reset. Remove the address from the load balancer first.
 package graceful
--- a/internal/graceful/export_test.go
+++ b/internal/graceful/export_test.go
@@ -2,6 +2,6 @@
 
 import "time"
 
-// WaitFor replaces how long the server waits for callers, so that no test depends on a
-// machine's speed. Call it before the server serves.
-func (s *Server) WaitFor(first, close time.Duration) { s.waits = waits{first, close} }
+// SetTimeouts replaces the waits for callers, so that no test depends on the speed of the
+// machine. It must be called before Serve.
+func (s *Server) SetTimeouts(first, close time.Duration) { s.timeouts = timeouts{first, close} }
--- a/internal/graceful/refusal.go
+++ b/internal/graceful/refusal.go
@@ -6,8 +6,8 @@
 	"net/http"
 )
 
-// rendered returns what a handler writes as the last answer on a connection.
-func rendered(write func(http.ResponseWriter)) []byte {
+// renderResponse returns the encoded response that write produces, with Connection: close.
+func renderResponse(write func(http.ResponseWriter)) []byte {
 	w := &recorder{header: http.Header{}, status: http.StatusOK}
 	write(w)
 	answer := http.Response{
@@ -20,11 +20,11 @@
 		Close:         true,
 	}
 	var out bytes.Buffer
-	_ = answer.Write(&out) // to memory
+	_ = answer.Write(&out) // writing to memory doesn't fail
 	return out.Bytes()
 }
 
-// recorder is an http.ResponseWriter to memory.
+// recorder is an http.ResponseWriter that keeps the response in memory.
 type recorder struct {
 	header http.Header
 	status int
--- a/internal/graceful/server.go
+++ b/internal/graceful/server.go
@@ -12,80 +12,84 @@
 )
 
 const (
-	// acceptQuiet is how long no connection must come before the listener is closed:
-	// those that wait in its queue would be reset.
-	acceptQuiet = 20 * time.Millisecond
-	// acceptLimit bounds that where connections keep coming.
-	acceptLimit = 200 * time.Millisecond
-	// firstWait is how long after it was opened a connection waits for its first
-	// request: one that is opened for a request has it by then, others are to spare.
-	firstWait = 500 * time.Millisecond
-	// closeLimit is how long a caller that was notified may take to close its side.
-	closeLimit = time.Second
+	// acceptQuietPeriod is the time without a new connection after which the listener is
+	// closed at shutdown. Closing it earlier would reset connections in its accept queue.
+	acceptQuietPeriod = 20 * time.Millisecond
+	// maxAcceptDrain is the longest time for which new connections can delay closing the
+	// listener.
+	maxAcceptDrain = 200 * time.Millisecond
+	// firstRequestTimeout is the time after its opening for which a connection waits for
+	// its first request during shutdown. A connection that was opened for a request has
+	// received it by then; other connections are spares of the client.
+	firstRequestTimeout = 500 * time.Millisecond
+	// peerCloseTimeout is the time that a caller has to close its side after the refusal.
+	peerCloseTimeout = time.Second
 )
 
-// Config sets up a Server.
+// Config configures a Server.
 type Config struct {
-	HTTP *http.Server // doesn't serve yet; its ConnState is called as before
-	// Refuse writes the answer to a request that came too late. It promises that the
-	// request has not run. Without it connections are closed without a word.
+	HTTP *http.Server // must not be serving yet; its ConnState hook is still called
+	// Refuse writes the response to a request that arrives too late. The response states
+	// that the request has not run. If Refuse is nil, connections are closed without a
+	// response.
 	Refuse func(http.ResponseWriter)
 	Log    logrus.FieldLogger
 }
 
-// Server is an http.Server that ends without losing a request. A connection on which
-// no whole head comes in the http.Server's time is notified so too, by a 408.
+// Server is an http.Server that shuts down without losing a request. A connection on
+// which no complete header arrives within the http.Server's timeouts is refused in the
+// same way, with status 408.
 type Server struct {
-	http    *http.Server
-	refusal []byte // as it goes over a connection
-	tooLate []byte // to a request whose head isn't whole in time
-	log     logrus.FieldLogger
-	waits   waits
+	http                *http.Server
+	refusalResponse     []byte // encoded as sent on a connection
+	headTimeoutResponse []byte // sent if a request's header isn't complete in time
+	log                 logrus.FieldLogger
+	timeouts            timeouts
 
-	mu          sync.Mutex // guards all below; taken before conn.mu
-	listener    deadlineListener
-	conns       map[*conn]struct{}
-	ending      bool
-	acceptUntil time.Time     // from the moment on at which no connection was left
-	empty       chan struct{} // closed when ending, not listening, and without connections
-	listening   bool
-	ended       ended
+	mu             sync.Mutex // guards the fields below; locked before conn.mu
+	listener       deadlineListener
+	conns          map[*conn]struct{}
+	shuttingDown   bool
+	acceptDeadline time.Time     // latest closing of the listener; set when no connection is left at shutdown
+	drained        chan struct{} // closed once the server is shutting down, doesn't listen and has no connections
+	listening      bool
+	stats          connStats
 }
 
-// waits are how long callers are waited for: see firstWait and closeLimit.
-type waits struct{ first, close time.Duration }
+// timeouts limit the waits for callers: see firstRequestTimeout and peerCloseTimeout.
+type timeouts struct{ firstRequest, peerClose time.Duration }
 
-// ended counts what became of the connections when the server ended.
-type ended struct {
-	notified int // got the refusal
-	crossed  int // of these, sent a request that the refusal answered
-	open     int // of these, were not closed by the caller in time
-	cut      int // were closed with a request being handled
+// connStats counts the outcomes of the connections at shutdown.
+type connStats struct {
+	refused  int // were refused
+	crossing int // refused, and had sent input that the refusal answered
+	leftOpen int // refused, and not closed by the caller in time
+	aborted  int // closed while a request was handled
 }
 
-// deadlineListener is a listener that can stop accepting at a moment.
+// deadlineListener is a listener whose Accept can be given a deadline.
 type deadlineListener interface {
 	net.Listener
 	SetDeadline(time.Time) error
 }
 
-// New returns a Server. It takes the http.Server over.
+// New returns a Server. It takes ownership of cfg.HTTP.
 func New(cfg Config) *Server {
 	s := &Server{
-		http:  cfg.HTTP,
-		log:   cfg.Log,
-		waits: waits{first: firstWait, close: closeLimit},
-		conns: map[*conn]struct{}{},
-		empty: make(chan struct{}),
+		http:     cfg.HTTP,
+		log:      cfg.Log,
+		timeouts: timeouts{firstRequest: firstRequestTimeout, peerClose: peerCloseTimeout},
+		conns:    map[*conn]struct{}{},
+		drained:  make(chan struct{}),
 	}
 	if cfg.Refuse != nil {
-		s.refusal = rendered(cfg.Refuse)
-		s.tooLate = rendered(func(w http.ResponseWriter) { w.WriteHeader(http.StatusRequestTimeout) })
+		s.refusalResponse = renderResponse(cfg.Refuse)
+		s.headTimeoutResponse = renderResponse(func(w http.ResponseWriter) { w.WriteHeader(http.StatusRequestTimeout) })
 	}
 	next := cfg.HTTP.ConnState
 	cfg.HTTP.ConnState = func(raw net.Conn, state http.ConnState) {
 		if c, ok := raw.(*conn); ok {
-			c.note(state)
+			c.setState(state)
 		}
 		if next != nil {
 			next(raw, state)
@@ -94,30 +98,31 @@
 	return s
 }
 
-// Serve serves a listener until Shutdown or Close, and closes it. It returns nil if one
-// of these ended it. Call it once.
+// Serve accepts connections on lis until Shutdown or Close, and closes lis. It returns nil
+// if Shutdown or Close stopped it. It must be called only once.
 func (s *Server) Serve(lis net.Listener) error {
 	stoppable, ok := lis.(deadlineListener)
 	if !ok {
-		_ = lis.Close() // nothing was accepted on it
-		return errors.NotSupportedf("step serve, address %s: a listener without deadlines", lis.Addr())
+		_ = lis.Close() // no connection was accepted
+		return errors.NotSupportedf("step serve, address %s: listener without deadlines", lis.Addr())
 	}
-	if !s.listen(stoppable) {
+	if !s.setListener(stoppable) {
 		return errors.Trace(lis.Close())
 	}
-	err := s.http.Serve(accepting{lis, s})
-	_ = lis.Close() // closed already where serving ended on purpose
-	if s.stopListening() || errors.Is(err, http.ErrServerClosed) {
+	err := s.http.Serve(trackingListener{lis, s})
+	_ = lis.Close() // already closed if Shutdown or Close stopped serving
+	if s.clearListener() || errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
 	return errors.Trace(err)
 }
 
-// listen notes the listener for Shutdown. It fails when the server has ended.
-func (s *Server) listen(lis deadlineListener) bool {
+// setListener stores the listener for Shutdown. It returns false if the server is
+// shutting down.
+func (s *Server) setListener(lis deadlineListener) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ending {
+	if s.shuttingDown {
 		return false
 	}
 	s.listener = lis
@@ -125,45 +130,47 @@
 	return true
 }
 
-// stopListening notes that no connection comes any more, and reports whether the
-// server is ending.
-func (s *Server) stopListening() bool {
+// clearListener records that no more connections are accepted, and reports whether the
+// server is shutting down.
+func (s *Server) clearListener() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listening = false
-	s.noteEmpty()
-	return s.ending
+	s.checkDrained()
+	return s.shuttingDown
 }
 
-// Shutdown notifies every connection, once its request is answered, those too that
-// come while others are left. It returns when all are closed; if ctx ends first it cuts
-// what is left, and returns ctx's error if requests were being handled there.
+// Shutdown refuses further requests on every connection once its active request is
+// answered, and on connections that are accepted while others are still open. It returns
+// when all connections are closed. If ctx ends first, it closes the remaining connections,
+// and returns the error of ctx if requests were being handled on them.
 func (s *Server) Shutdown(ctx context.Context) error {
-	for _, c := range s.end() {
-		c.end()
+	for _, c := range s.beginShutdown() {
+		c.shutdown()
 	}
 	var err error
 	select {
-	case <-s.empty:
+	case <-s.drained:
 	case <-ctx.Done():
-		if cut := s.countCut(); cut > 0 {
-			err = errors.Annotatef(ctx.Err(), "step end server, %d connections cut", cut)
+		if cut := s.countAborted(); cut > 0 {
+			err = errors.Annotatef(ctx.Err(), "step shut down server, %d connections closed during a request", cut)
 		}
 	}
-	_ = s.http.Close() // of what is left, if anything
-	s.report()
+	_ = s.http.Close() // closes the remaining connections
+	s.logStats()
 	return err
 }
 
-// end begins the end and returns the open connections.
-func (s *Server) end() []*conn {
+// beginShutdown marks the server as shutting down and returns the open connections. It
+// returns nil if the server was already shutting down.
+func (s *Server) beginShutdown() []*conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ending {
+	if s.shuttingDown {
 		return nil
 	}
-	s.ending = true
-	s.noteEmpty()
+	s.shuttingDown = true
+	s.checkDrained()
 	open := make([]*conn, 0, len(s.conns))
 	for c := range s.conns {
 		open = append(open, c)
@@ -171,115 +178,115 @@
 	return open
 }
 
-// awaitQuiet has the listener closed when no connection comes for a while. s.mu is
-// held.
-func (s *Server) awaitQuiet() {
-	if s.acceptUntil.IsZero() {
-		s.acceptUntil = time.Now().Add(acceptLimit)
+// extendAcceptDeadline sets the listener's deadline to acceptQuietPeriod from now, but at
+// most to acceptDeadline. s.mu is held.
+func (s *Server) extendAcceptDeadline() {
+	if s.acceptDeadline.IsZero() {
+		s.acceptDeadline = time.Now().Add(maxAcceptDrain)
 	}
-	at := time.Now().Add(acceptQuiet)
-	if at.After(s.acceptUntil) {
-		at = s.acceptUntil
+	at := time.Now().Add(acceptQuietPeriod)
+	if at.After(s.acceptDeadline) {
+		at = s.acceptDeadline
 	}
-	_ = s.listener.SetDeadline(at) // fails on a closed listener, which accepts nothing
+	_ = s.listener.SetDeadline(at) // fails only on a closed listener, which accepts nothing
 }
 
-// noteEmpty ends a server that is ending when no connection is left: first the
-// listener, then the wait of Shutdown. s.mu is held.
-func (s *Server) noteEmpty() {
-	if !s.ending || len(s.conns) > 0 {
+// checkDrained continues the shutdown once no connection is open: while the server
+// listens, it sets the listener's deadline; afterwards it closes s.drained. s.mu is held.
+func (s *Server) checkDrained() {
+	if !s.shuttingDown || len(s.conns) > 0 {
 		return
 	}
 	if s.listening {
-		s.awaitQuiet()
+		s.extendAcceptDeadline()
 		return
 	}
 	select {
-	case <-s.empty:
+	case <-s.drained:
 	default:
-		close(s.empty)
+		close(s.drained)
 	}
 }
 
-// Close cuts every connection at once.
+// Close closes the listener and every connection immediately.
 func (s *Server) Close() error {
 	s.mu.Lock()
-	s.ending = true
-	s.noteEmpty()
+	s.shuttingDown = true
+	s.checkDrained()
 	s.mu.Unlock()
 	return errors.Trace(s.http.Close())
 }
 
-// countCut counts the connections on which a request is being handled.
-func (s *Server) countCut() int {
+// countAborted counts the connections on which a request is being handled.
+func (s *Server) countAborted() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if c.isCut() {
-			s.ended.cut++
+		if c.isHandling() {
+			s.stats.aborted++
 		}
 	}
-	return s.ended.cut
+	return s.stats.aborted
 }
 
-// report logs what became of the connections, if there were any.
-func (s *Server) report() {
+// logStats logs the outcomes of the connections, if there were any.
+func (s *Server) logStats() {
 	s.mu.Lock()
-	e := s.ended
+	e := s.stats
 	s.mu.Unlock()
-	if e == (ended{}) {
+	if e == (connStats{}) {
 		return
 	}
 	s.log.WithFields(logrus.Fields{
-		"notified": e.notified, "crossed": e.crossed, "left_open": e.open, "cut": e.cut,
+		"notified": e.refused, "crossed": e.crossing, "left_open": e.leftOpen, "cut": e.aborted,
 	}).Info("connections ended")
 }
 
-// add wraps a connection that was accepted.
-func (s *Server) add(raw net.Conn) *conn {
+// track wraps and registers an accepted connection.
+func (s *Server) track(raw net.Conn) *conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := &conn{Conn: raw, server: s, opened: time.Now(), ending: s.ending}
+	c := &conn{Conn: raw, server: s, opened: time.Now(), shuttingDown: s.shuttingDown}
 	s.conns[c] = struct{}{}
 	return c
 }
 
-func (s *Server) remove(c *conn) {
+func (s *Server) untrack(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
-	s.noteEmpty()
+	s.checkDrained()
 }
 
-func (s *Server) count(add ended) {
+func (s *Server) addStats(add connStats) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ended.notified += add.notified
-	s.ended.crossed += add.crossed
-	s.ended.open += add.open
+	s.stats.refused += add.refused
+	s.stats.crossing += add.crossing
+	s.stats.leftOpen += add.leftOpen
 }
 
-func (s *Server) isEnding() bool {
+func (s *Server) isShuttingDown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ending
+	return s.shuttingDown
 }
 
-// accepting hands the connections of a listener to the http.Server, wrapped.
-type accepting struct {
+// trackingListener wraps each accepted connection in a conn.
+type trackingListener struct {
 	net.Listener
 	server *Server
 }
 
 // Accept implements net.Listener.
-func (a accepting) Accept() (net.Conn, error) {
+func (a trackingListener) Accept() (net.Conn, error) {
 	raw, err := a.Listener.Accept()
 	if err != nil {
-		if a.server.isEnding() {
-			// A deadline that has passed would be taken for a passing fault.
+		if a.server.isShuttingDown() {
+			// The http.Server would retry after a timeout, which is a temporary error.
 			return nil, net.ErrClosed
 		}
 		return nil, err
 	}
-	return a.server.add(raw), nil
+	return a.server.track(raw), nil
 }
--- a/internal/graceful/server_test.go
+++ b/internal/graceful/server_test.go
@@ -21,48 +21,49 @@
 
 const refusalText = "ended: not run"
 
-// refuse writes what callers get whose request came too late.
+// refuse writes the response to requests that arrive too late.
 func refuse(w http.ResponseWriter) {
 	w.Header().Set("Retry-After", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 	_, _ = io.WriteString(w, refusalText)
 }
 
-// served is a server on loopback.
-type served struct {
+// testServer is a server on a loopback address.
+type testServer struct {
 	*graceful.Server
 	address string
-	ended   chan error // of Serve
+	ended   chan error // result of Serve
 }
 
-func serve(t *testing.T, srv *http.Server) *served {
+func startServer(t *testing.T, srv *http.Server) *testServer {
 	t.Helper()
-	return serveWaiting(t, srv, 0)
+	return startServerWithFirstWait(t, srv, 0)
 }
 
-// patience is longer than any machine takes for one step of a test.
-const patience = time.Minute
+// stepTimeout is longer than one step of a test takes on any machine.
+const stepTimeout = time.Minute
 
-// serveWaiting is serve for a server that waits for the first request of a connection.
-func serveWaiting(t *testing.T, srv *http.Server, first time.Duration) *served {
+// startServerWithFirstWait starts a server that waits up to first for the first request of a
+// connection.
+func startServerWithFirstWait(t *testing.T, srv *http.Server, first time.Duration) *testServer {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &served{
+	s := &testServer{
 		Server:  graceful.New(graceful.Config{HTTP: srv, Refuse: refuse, Log: quiet.Logger()}),
 		address: lis.Addr().String(),
 		ended:   make(chan error, 1),
 	}
-	s.WaitFor(first, patience)
+	s.SetTimeouts(first, stepTimeout)
 	go func() { s.ended <- s.Serve(lis) }()
 	t.Cleanup(func() { _ = s.Close() })
 	return s
 }
 
-// shutdown ends the server and reports what its two calls say.
-func (s *served) shutdown(t *testing.T) {
+// shutdown shuts the server down and reports errors of Shutdown and Serve.
+func (s *testServer) shutdown(t *testing.T) {
 	t.Helper()
 	if err := s.Shutdown(t.Context()); err != nil {
 		t.Error(err)
@@ -72,7 +73,7 @@
 	}
 }
 
-// caller is a raw connection: it sends what it is told to and retries nothing.
+// caller is a client on a raw connection, without retries.
 type caller struct {
 	net.Conn
 	answers *bufio.Reader
@@ -93,7 +94,7 @@
 	return err
 }
 
-// answer reads one answer; the status is 0 if none came.
+// answer reads one response; the status is 0 if there is none.
 func (c *caller) answer() (status int, body string, last bool, err error) {
 	resp, err := http.ReadResponse(c.answers, nil)
 	if err != nil {
@@ -104,7 +105,7 @@
 	return resp.StatusCode, string(data), resp.Close, err
 }
 
-// wantRefusal reads the refusal and the end of the connection, and closes it.
+// wantRefusal expects the refusal and then EOF, and closes the connection.
 func (c *caller) wantRefusal(t *testing.T) {
 	t.Helper()
 	status, body, last, err := c.answer()
@@ -122,16 +123,16 @@
 	return fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// counting is a handler that counts the requests that it ran by path.
-type counting struct{ ran sync.Map }
+// countingHandler counts the requests that it handles, by path.
+type countingHandler struct{ ran sync.Map }
 
-func (h *counting) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *countingHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	n, _ := h.ran.LoadOrStore(r.URL.Path, new(atomic.Int64))
 	n.(*atomic.Int64).Add(1)
 	_, _ = io.WriteString(w, "ok")
 }
 
-func (h *counting) runs(id string) int64 {
+func (h *countingHandler) runs(id string) int64 {
 	n, ok := h.ran.Load("/" + id)
 	if !ok {
 		return 0
@@ -139,24 +140,24 @@
 	return n.(*atomic.Int64).Load()
 }
 
-// busyServer is a server that runs one request until it is released, and answers others.
+// busyServer handles one request until it is released, and answers others immediately.
 type busyServer struct {
-	*served
+	*testServer
 	busy    *caller
 	release chan struct{}
 }
 
-func serveBusy(t *testing.T, first time.Duration) *busyServer {
+func startBusyServer(t *testing.T, first time.Duration) *busyServer {
 	t.Helper()
 	running, release := make(chan struct{}), make(chan struct{})
-	s := serveWaiting(t, &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	s := startServerWithFirstWait(t, &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/busy" {
 			close(running)
 			<-release
 		}
 		_, _ = io.WriteString(w, "ok")
 	})}, first)
-	b := &busyServer{served: s, busy: dial(t, s.address), release: release}
+	b := &busyServer{testServer: s, busy: dial(t, s.address), release: release}
 	if err := b.busy.send(post("busy")); err != nil {
 		t.Fatal(err)
 	}
@@ -164,7 +165,7 @@
 	return b
 }
 
-// finish releases the request, which is answered, and its connection then refused.
+// finish releases the request, and expects its response and then the refusal.
 func (b *busyServer) finish(t *testing.T) {
 	t.Helper()
 	close(b.release)
@@ -174,20 +175,20 @@
 	b.busy.wantRefusal(t)
 }
 
-// Guards against a connection that is closed under a request whose caller can't know
-// whether it ran: each request sent before its caller was notified has an answer, and
-// "not run" is true.
-func TestNoRequestIsLostAtTheEnd(t *testing.T) {
+// Guards against closing a connection with a request in transit, so that its caller can't
+// tell whether it ran: each request sent before its connection was refused gets a
+// response, and a refused request has not run.
+func TestNoRequestIsLostAtShutdown(t *testing.T) {
 	const rounds, callers = 20, 40
 	for round := range rounds {
-		h := &counting{}
-		s := serve(t, &http.Server{Handler: h})
+		h := &countingHandler{}
+		s := startServer(t, &http.Server{Handler: h})
 		var sending, running sync.WaitGroup
 		sending.Add(callers)
 		for i := range callers {
 			c := dial(t, s.address)
-			fresh := i%2 == 0 // its first request comes with the end
-			running.Go(func() { sendUntilNotified(t, c, h, fmt.Sprintf("%d-%d", round, i), fresh, sending.Done) })
+			fresh := i%2 == 0 // its first request is sent during shutdown
+			running.Go(func() { sendUntilRefused(t, c, h, fmt.Sprintf("%d-%d", round, i), fresh, sending.Done) })
 		}
 		sending.Wait()
 		s.shutdown(t)
@@ -195,8 +196,9 @@
 	}
 }
 
-// sendUntilNotified sends requests on one connection for as long as it is answered.
-func sendUntilNotified(t *testing.T, c *caller, h *counting, name string, fresh bool, underWay func()) {
+// sendUntilRefused sends requests on one connection until one is refused or fails. A fresh
+// caller calls underWay before its first request, others call it after.
+func sendUntilRefused(t *testing.T, c *caller, h *countingHandler, name string, fresh bool, underWay func()) {
 	defer c.Close()
 	if fresh {
 		underWay()
@@ -224,12 +226,12 @@
 	}
 }
 
-// Guards against a request whose head is half read when the server ends: it isn't
-// handled, and its caller is notified.
+// Guards against handling a request whose header is partly read at shutdown: it is
+// refused instead.
 func TestHalfReadRequestIsRefused(t *testing.T) {
-	h := &counting{}
+	h := &countingHandler{}
 	read := make(chan struct{})
-	s := serve(t, &http.Server{Handler: h, ConnState: func(_ net.Conn, state http.ConnState) {
+	s := startServer(t, &http.Server{Handler: h, ConnState: func(_ net.Conn, state http.ConnState) {
 		if state == http.StateNew {
 			close(read)
 		}
@@ -254,11 +256,11 @@
 	}
 }
 
-// Guards against connections that wait in the listener's queue being reset with it:
-// they are accepted and notified.
-func TestQueuedConnectionsAreNotified(t *testing.T) {
+// Guards against resetting connections in the accept queue when the listener is closed:
+// they are accepted and refused.
+func TestQueuedConnectionsAreRefused(t *testing.T) {
 	const queued = 20
-	s := serve(t, &http.Server{Handler: &counting{}})
+	s := startServer(t, &http.Server{Handler: &countingHandler{}})
 	var callers []*caller
 	for i := range queued {
 		c := dial(t, s.address)
@@ -286,10 +288,10 @@
 	reading.Wait()
 }
 
-// Guards against a request that is running being cut by the end of its server: it is
-// answered first, and its connection is notified after that.
+// Guards against interrupting a running request at shutdown: it is answered, and its
+// connection is refused afterwards.
 func TestRunningRequestIsAnsweredFirst(t *testing.T) {
-	s := serveBusy(t, 0)
+	s := startBusyServer(t, 0)
 	idle := dial(t, s.address)
 	done := make(chan struct{})
 	go func() { defer close(done); s.shutdown(t) }()
@@ -298,10 +300,10 @@
 	<-done
 }
 
-// Guards against callers that find nobody, though a request still runs: a connection
-// that comes meanwhile is accepted and notified.
-func TestConnectionIsNotifiedWhileARequestRuns(t *testing.T) {
-	s := serveBusy(t, 0)
+// Guards against closing the listener while a request still runs: a connection that is
+// opened meanwhile is accepted and refused.
+func TestNewConnectionIsRefusedWhileARequestRuns(t *testing.T) {
+	s := startBusyServer(t, 0)
 	idle := dial(t, s.address)
 	done := make(chan struct{})
 	go func() { defer close(done); s.shutdown(t) }()
@@ -311,11 +313,11 @@
 	<-done
 }
 
-// Guards against HTTP clients failing a request since its connection, opened for it a
-// moment before, has an answer that comes first.
-func TestNewConnectionIsAnsweredAfterItsRequest(t *testing.T) {
+// Guards against refusing a new connection before its first request arrives: an HTTP
+// client fails a request if the response arrives before the request is sent.
+func TestNewConnectionIsRefusedAfterItsRequest(t *testing.T) {
 	const callers, each = 8, 100
-	s := serveBusy(t, patience)
+	s := startBusyServer(t, stepTimeout)
 	kept := dial(t, s.address)
 	if err := kept.send(post("one")); err != nil {
 		t.Fatal(err)
@@ -348,10 +350,10 @@
 	<-done
 }
 
-// Guards against a caller that keeps a connection of the ended server for the next
-// one on its address: the server is there until the caller has closed it.
+// Guards against a caller that reuses a connection of the stopped server for the next
+// server on the address: Shutdown returns only after the caller has closed the connection.
 func TestShutdownWaitsUntilCallersHaveClosed(t *testing.T) {
-	s := serve(t, &http.Server{Handler: &counting{}})
+	s := startServer(t, &http.Server{Handler: &countingHandler{}})
 	c := dial(t, s.address)
 	done := make(chan struct{})
 	go func() { defer close(done); s.shutdown(t) }()
@@ -360,18 +362,18 @@
 	}
 	select {
 	case <-done:
-		t.Error("ended while the caller's side is open")
+		t.Error("Shutdown returned before the caller closed its side")
 	default:
 	}
 	_ = c.Close()
 	<-done
 }
 
-// Guards against an end that takes for ever: what still runs when the context ends is
-// cut, and the error says so.
-func TestShutdownEndsWithItsContext(t *testing.T) {
+// Guards against a shutdown that never returns: requests that still run when the context
+// ends are interrupted, and Shutdown returns an error.
+func TestShutdownReturnsWhenContextEnds(t *testing.T) {
 	running := make(chan struct{})
-	s := serve(t, &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	s := startServer(t, &http.Server{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		close(running)
 		<-r.Context().Done()
 	})})
@@ -383,23 +385,23 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	if err := s.Shutdown(ctx); err == nil {
-		t.Error("no error for a request that was cut")
+		t.Error("no error though a request was interrupted")
 	}
 	if _, _, _, err := c.answer(); err == nil {
-		t.Error("an answer from a server that is gone")
+		t.Error("got a response after Shutdown returned")
 	}
 }
 
-// Guards against a request that meets the end of its connection's idle time getting a
-// closed connection for an answer: the caller is notified that nothing was run.
-func TestIdleConnectionIsNotified(t *testing.T) {
+// Guards against closing a connection without a response when its idle or header timeout
+// passes while a request is in transit: the caller gets status 408.
+func TestIdleConnectionGetsRequestTimeout(t *testing.T) {
 	limits := map[string]*http.Server{
-		"first": {Handler: &counting{}, ReadHeaderTimeout: 20 * time.Millisecond},
-		"next":  {Handler: &counting{}, IdleTimeout: 20 * time.Millisecond},
+		"first": {Handler: &countingHandler{}, ReadHeaderTimeout: 20 * time.Millisecond},
+		"next":  {Handler: &countingHandler{}, IdleTimeout: 20 * time.Millisecond},
 	}
 	for name, srv := range limits {
 		t.Run(name, func(t *testing.T) {
-			s := serve(t, srv)
+			s := startServer(t, srv)
 			c := dial(t, s.address)
 			if name == "next" {
 				if err := c.send(post("one")); err != nil {
@@ -417,8 +419,9 @@
 	}
 }
 
-// Guards against a server that can't stop accepting without resetting who waits: it
-// takes no listener of which it would learn that at its end.
+// Guards against serving on a listener without deadlines, which can't stop accepting
+// without resetting queued connections: Serve rejects it, so that this isn't found only
+// at shutdown.
 func TestListenerWithoutDeadlinesIsNotServed(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -426,7 +429,7 @@
 	}
 	s := graceful.New(graceful.Config{HTTP: &http.Server{}, Refuse: refuse, Log: quiet.Logger()})
 	if err := s.Serve(struct{ net.Listener }{lis}); !errors.Is(err, errors.NotSupported) {
-		t.Errorf("served: %v", err)
+		t.Errorf("Serve returned %v, want NotSupported", err)
 	}
 	if err := s.Shutdown(t.Context()); err != nil {
 		t.Error(err)
