--- a/internal/graceful/conn.go
+++ b/internal/graceful/conn.go
@@ -130,19 +130,19 @@
 // refusal.
 func (c *conn) refuseAndDrain(unread int) {
 	_ = c.SetDeadline(time.Now().Add(c.server.timeouts.peerClose)) // if it fails, the write below fails too
-	seen := connStats{refused: 1}
+	stats := connStats{refused: 1}
 	if err := c.writeRefusal(); err == nil {
 		n, err := io.Copy(io.Discard, struct{ io.Reader }{c.Conn})
 		unread += int(n)
 		if err != nil && isTimeout(err) {
-			seen.leftOpen = 1
+			stats.leftOpen = 1
 		}
 	}
 	if unread > 0 {
-		seen.crossing = 1
+		stats.crossing = 1
 	}
 	if c.server.isShuttingDown() {
-		c.server.addStats(seen)
+		c.server.addStats(stats)
 	}
 }
 
--- a/internal/graceful/server.go
+++ b/internal/graceful/server.go
@@ -152,8 +152,8 @@
 	select {
 	case <-s.drained:
 	case <-ctx.Done():
-		if cut := s.countAborted(); cut > 0 {
-			err = errors.Annotatef(ctx.Err(), "step shut down server, %d connections closed during a request", cut)
+		if aborted := s.countAborted(); aborted > 0 {
+			err = errors.Annotatef(ctx.Err(), "step shut down server, %d connections closed during a request", aborted)
 		}
 	}
 	_ = s.http.Close() // closes the remaining connections
@@ -258,12 +258,12 @@
 	s.checkDrained()
 }
 
-func (s *Server) addStats(add connStats) {
+func (s *Server) addStats(delta connStats) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stats.refused += add.refused
-	s.stats.crossing += add.crossing
-	s.stats.leftOpen += add.leftOpen
+	s.stats.refused += delta.refused
+	s.stats.crossing += delta.crossing
+	s.stats.leftOpen += delta.leftOpen
 }
 
 func (s *Server) isShuttingDown() bool {
