--- a/internal/gatewaynode/end.go
+++ b/internal/gatewaynode/end.go
@@ -7,67 +7,70 @@
 	"github.com/briarturn/briarturn/internal/sleep"
 )
 
-// The end of a process, from the signal on. The platform kills it after its grace.
+// Times of the shutdown, counted from the termination signal unless stated otherwise. The
+// platform kills the process when the grace period ends.
 const (
-	// refuseStreamsAfter: a stream that begins later might not end in the grace;
-	// those that begin before may run on to its last sixth.
+	// refuseStreamsAfter is the time after which new streams are refused, because they
+	// might not end within the grace period. Streams that begin earlier may run until the
+	// last sixth of the grace period.
 	refuseStreamsAfter = 2500 * time.Millisecond
-	// leaveAfter is the least time that the node goes on serving: the balancer
-	// asks once a second and needs two refusals, and a connection may be on its
-	// way.
-	leaveAfter = 3500 * time.Millisecond
-	// refuseBefore and exitBefore are counted from the end of the grace. Between them
-	// callers that are still connected have time to hear of the end.
-	refuseBefore = 1500 * time.Millisecond
-	exitBefore   = 300 * time.Millisecond
-	// noticeTime is what they have of it where the grace is so short that the node
-	// leaves later than it begins to refuse.
-	noticeTime = 100 * time.Millisecond
-	// quietTime is how long nothing must run before the node ends early.
-	quietTime = 300 * time.Millisecond
-	pollEnd   = 50 * time.Millisecond
+	// minServeTime is the shortest time for which the node continues to serve: the load
+	// balancer checks readiness once a second and needs two failed checks, and a
+	// connection may be in transit.
+	minServeTime = 3500 * time.Millisecond
+	// refuseAllBefore and exitBefore are counted back from the end of the grace period.
+	// Between them, callers that are still connected have time to receive a refusal.
+	refuseAllBefore = 1500 * time.Millisecond
+	exitBefore      = 300 * time.Millisecond
+	// refusalTime is the time that they have for this if the grace period is so short that
+	// minServeTime would end later.
+	refusalTime = 100 * time.Millisecond
+	// idleBeforeExit is the time without active requests after which the node shuts down
+	// before the grace period ends.
+	idleBeforeExit    = 300 * time.Millisecond
+	drainPollInterval = 50 * time.Millisecond
 )
 
-// DrainAndWait takes the node out of the balancer, goes on serving what callers
-// send on open connections until nothing runs or every new request is refused, and
-// then ends the connections as they become idle, until the grace ends.
+// DrainAndWait reports the node as not ready to the load balancer, continues to serve
+// requests until none is active or every new request is refused, and then closes the
+// connections as they become idle, until shortly before the grace period ends.
 func (n *Node) DrainAndWait(ctx context.Context) error {
 	begun := time.Now()
 	n.gateway.BeginShutdown()
-	n.serveOn(ctx, begun)
+	n.waitUntilDrained(ctx, begun)
 	ending, cancel := context.WithDeadline(context.Background(), begun.Add(n.cfg.Grace-exitBefore))
 	defer cancel()
 	return n.callers.Shutdown(ending)
 }
 
-// serveOn returns when the balancer has heard and nothing runs any more or every new
-// request is refused, or when ctx ends.
-func (n *Node) serveOn(ctx context.Context, begun time.Time) {
-	leave := min(leaveAfter, n.cfg.Grace-exitBefore-noticeTime)
-	var quietSince time.Time
-	for sleep.For(ctx, pollEnd) {
+// waitUntilDrained returns when the load balancer has had time to remove the node and either
+// no request is active or every new request is refused, or when ctx ends.
+func (n *Node) waitUntilDrained(ctx context.Context, begun time.Time) {
+	leave := min(minServeTime, n.cfg.Grace-exitBefore-refusalTime)
+	var idleSince time.Time
+	for sleep.For(ctx, drainPollInterval) {
 		passed := time.Since(begun)
-		refusing := n.advance(passed)
+		refusing := n.refuseLateRequests(passed)
 		if refusing && passed >= leave {
 			return
 		}
 		if n.gateway.ActiveRequests() > 0 {
-			quietSince = time.Time{}
+			idleSince = time.Time{}
 			continue
 		}
-		if quietSince.IsZero() {
-			quietSince = time.Now()
+		if idleSince.IsZero() {
+			idleSince = time.Now()
 		}
-		if passed >= leave && time.Since(quietSince) >= quietTime {
+		if passed >= leave && time.Since(idleSince) >= idleBeforeExit {
 			return
 		}
 	}
 }
 
-// advance refuses what begins too late to end in the grace, and reports whether that is
-// every new request.
-func (n *Node) advance(passed time.Duration) bool {
-	if passed >= n.cfg.Grace-refuseBefore {
+// refuseLateRequests refuses new requests that might not end within the grace period, and
+// reports whether it refuses all of them.
+func (n *Node) refuseLateRequests(passed time.Duration) bool {
+	if passed >= n.cfg.Grace-refuseAllBefore {
 		n.gateway.RefuseAll()
 		return true
 	}
@@ -77,14 +80,14 @@
 	return false
 }
 
-// Close ends the servers and the watches.
+// Close stops the servers, the watches and the exchange with peers.
 func (n *Node) Close() {
 	n.stop()
-	// Both end at once; connections that are open are cut.
+	// These close open connections immediately.
 	_ = n.callers.Close()
 	_ = n.ready.Close()
 	_ = n.admin.Close()
 	if err := n.exchange.Close(); err != nil {
-		n.cfg.Log.WithError(err).Warn("exchange with peers did not end well")
+		n.cfg.Log.WithError(err).Warn("failed to close the exchange with peers")
 	}
 }
--- a/internal/gatewaynode/engines.go
+++ b/internal/gatewaynode/engines.go
@@ -7,15 +7,15 @@
 	"github.com/briarturn/briarturn/upstream"
 )
 
-// engineIndex finds the service of a server by its key. It is rebuilt when the
-// directory has changed. mu guards all fields and is taken before the directory's.
-type engineIndex struct {
+// serviceIndex maps the key of a server to its service. It is rebuilt when the directory has
+// changed. mu guards all fields and is locked before the directory's mutex.
+type serviceIndex struct {
 	mu       sync.Mutex
 	version  uint64
 	services map[uint64]string // by placement.ServerKey
 }
 
-func (x *engineIndex) service(d *upstream.Directory, server uint64) (string, bool) {
+func (x *serviceIndex) service(d *upstream.Directory, server uint64) (string, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if version := d.Version(); x.services == nil || version != x.version {
@@ -29,14 +29,14 @@
 	return name, ok
 }
 
-func (x *engineIndex) knows(d *upstream.Directory, server uint64) bool {
+func (x *serviceIndex) contains(d *upstream.Directory, server uint64) bool {
 	_, ok := x.service(d, server)
 	return ok
 }
 
-// engineOf returns the engine that a server is; nil for a plain service or a
-// server that isn't known.
-func (n *Node) engineOf(server uint64) *placement.EngineProfile {
+// engineProfile returns the engine profile of a server, or nil if its service has none or
+// the server is unknown.
+func (n *Node) engineProfile(server uint64) *placement.EngineProfile {
 	name, ok := n.engines.service(n.directory, server)
 	if !ok {
 		return nil
--- a/internal/gatewaynode/firststart_test.go
+++ b/internal/gatewaynode/firststart_test.go
@@ -14,91 +14,95 @@
 	"github.com/briarturn/briarturn/replica"
 )
 
-// unlistable is a store that answers one entry nothing.
-type unlistable struct{ objectapi.Store }
+// unavailableStore is a store whose reads fail with ErrUnavailable for one entry.
+type unavailableStore struct{ objectapi.Store }
 
-func (unlistable) List(context.Context, string, string) (objectapi.Listing, error) {
+func (unavailableStore) List(context.Context, string, string) (objectapi.Listing, error) {
 	return objectapi.Listing{}, objectapi.ErrUnavailable
 }
 
-func (unlistable) Watch(context.Context, string, uint64, time.Duration) (objectapi.Listing, error) {
+func (unavailableStore) Watch(context.Context, string, uint64, time.Duration) (objectapi.Listing, error) {
 	return objectapi.Listing{}, objectapi.ErrUnavailable
 }
 
-// startFleet starts a fleet for the first time: entries hear each other after some time, and
-// the first three are the readers then. It returns when each knew the object that is
-// in the store, and how often that was listed. silent turns the readers away.
-func startFleet(t *testing.T, entries int, gathers, silent bool) (known []time.Duration, lists int64) {
-	const hear = 900 * time.Millisecond
+// startFleet starts a fleet: the entries discover each other after 900 ms, and the first
+// three are the readers then. It returns the time after which each entry received the
+// object that is in the store, and the number of list calls. firstStart marks the
+// first start of the whole fleet; readersUnavailable makes the store unavailable to the
+// readers.
+func startFleet(t *testing.T, entries int, firstStart, readersUnavailable bool) (received []time.Duration, lists int64) {
+	const discoveryDelay = 900 * time.Millisecond
 	ctx, cancel := context.WithCancel(t.Context())
 	defer func() { cancel(); synctest.Wait() }()
 	store := standin.NewMemory(standin.Config{})
 	if _, err := store.Create(ctx, testKind, "x", json.RawMessage("{}")); err != nil {
 		t.Fatal(err)
 	}
-	z := &zone{services: map[string]*replica.Service{}, began: time.Now()}
+	z := &peerNetwork{services: map[string]*replica.Service{}, startedAt: time.Now()}
 	near := []string{"e0", "e1", "e2"}
-	var all []*heard
+	var all []*recordingSink
 	for i := range entries {
 		readers := func() peering.Readers {
-			if time.Since(z.began) < hear {
+			if time.Since(z.startedAt) < discoveryDelay {
 				return peering.Readers{Self: true}
 			}
 			return peering.Readers{Self: i < len(near), SameZone: near, Others: []string{"e3", "e4"}}
 		}
 		from := objectapi.Store(store)
-		if silent && i < len(near) {
-			from = unlistable{store}
+		if readersUnavailable && i < len(near) {
+			from = unavailableStore{store}
 		}
-		all = append(all, z.joinAs(ctx, fmt.Sprintf("e%d", i), from, gathers, readers))
+		all = append(all, z.joinAs(ctx, fmt.Sprintf("e%d", i), from, firstStart, readers))
 	}
 	time.Sleep(10 * time.Second)
 	synctest.Wait()
 	for i, h := range all {
 		at, ok := h.at["x"]
 		if !ok {
-			t.Fatalf("entry %d knows nothing after 10 s", i)
+			t.Fatalf("entry %d has not received the object after 10 s", i)
 		}
-		known = append(known, at.Sub(z.began))
+		received = append(received, at.Sub(z.startedAt))
 	}
-	return known, store.Counts().List
+	return received, store.Counts().List
 }
 
-// Each entry of a fleet that starts reads the whole state from the store, which is most of
-// a day's calls where a fleet is large: a few have to do it for all.
-func TestFewReadTheStoreAtTheFirstStart(t *testing.T) {
+// Guards against every entry of a starting fleet reading the whole state from the store,
+// which in a large fleet makes up most of a day's calls: a few entries must read for all.
+func TestFirstStartFewEntriesReadStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		known, lists := startFleet(t, 40, true, false)
 		for i, after := range known {
-			if after > gatherTime+time.Second {
-				t.Errorf("entry %d knows the state after %v", i, after)
+			if after > discoveryTime+time.Second {
+				t.Errorf("entry %d received the state after %v", i, after)
 			}
 		}
 		if lists > 3 {
-			t.Errorf("%d lists by 40 entries of which 3 read for the others", lists)
+			t.Errorf("%d list calls by 40 entries with 3 readers, want 3 at most", lists)
 		}
 	})
 }
 
-// A fleet whose readers the store doesn't answer at the first start never serves.
+// Guards against a fleet that never serves because the store is unavailable to its readers
+// at the first start.
 func TestFirstStartWithoutReaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		known, _ := startFleet(t, 40, true, true)
 		for i, after := range known {
-			if after > gatherLimit+2*time.Second {
-				t.Errorf("entry %d knows the state after %v", i, after)
+			if after > maxFirstReadWait+2*time.Second {
+				t.Errorf("entry %d received the state after %v", i, after)
 			}
 		}
 	})
 }
 
-// An entry that starts later, under load, doesn't wait for others.
-func TestLaterStartReadsAtOnce(t *testing.T) {
+// Guards against an entry that starts later, under load, waiting for other entries before it
+// reads the store.
+func TestLaterStartReadsImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		known, _ := startFleet(t, 5, false, false)
 		for i, after := range known {
 			if after > 100*time.Millisecond {
-				t.Errorf("entry %d knows the state after %v", i, after)
+				t.Errorf("entry %d received the state after %v", i, after)
 			}
 		}
 	})
--- a/internal/gatewaynode/node.go
+++ b/internal/gatewaynode/node.go
@@ -1,5 +1,5 @@
-// Package gatewaynode joins the parts of an entry that serves routed requests: the
-// watches of the store, the gateway, its servers, and its start and end.
+// Package gatewaynode assembles an entry that serves routed requests: the watches of the
+// store, the gateway and its servers, and startup and shutdown.
 package gatewaynode
 
 import (
@@ -29,32 +29,35 @@
 )
 
 const (
-	// configWait is how long a watch of the configuration waits. Each return proves
-	// the configuration current, so that it bounds the age of the proof.
+	// configWait is the longest time that a watch of the configuration waits for a change.
+	// Each return confirms that the configuration is current, so that this bounds the age
+	// of the confirmation.
 	configWait = time.Second
-	// serversWait is the same for the list of backend servers, where a quiet watch proves
-	// how things were at its end: undisturbed the word is a wait old at most, and entries
-	// that read it through others trust it for not much more. Within three seconds of its
-	// word a server that leaves has to be left alone.
+	// serversWait is the same for the list of backend servers. A watch without changes
+	// confirms the state at its end, so that without faults the list is at most one wait
+	// old, and entries that read it through peers accept it for little longer. A server must
+	// receive no new requests from three seconds after the store announces that it leaves.
 	serversWait = 2 * time.Second
-	// watchInterval paces the watches in a burst of changes: with what peers take to ask
-	// each other, a change is known everywhere in half of the two seconds in which it
-	// has to be in force. While servers are replaced one after the other each watch
-	// returns at once, so that this is what bounds the calls.
+	// watchInterval is the minimum time between the starts of two watches of a kind, which
+	// matters in a burst of changes. Together with the time that peers take to pull from
+	// each other, it lets a change reach every entry in half of the two seconds within
+	// which it must be in force. While servers are replaced one after the other, each watch
+	// returns immediately, and only this interval bounds the number of calls.
 	watchInterval = 250 * time.Millisecond
-	// watchBackoffMax bounds the pause between two tries while the store is away:
-	// half a second of the five in which a removed key has to be refused.
+	// watchBackoffMax is the longest pause between two attempts while the store is
+	// unavailable: half a second of the five within which a removed key must be refused.
 	watchBackoffMax = 500 * time.Millisecond
-	// assumedEntries is how many entries share the retry budget until more are
-	// known: a new process must not take the whole of it.
+	// assumedEntries is the number of entries that are assumed to share the retry budget
+	// until the real number is known, so that a new process doesn't use all of it.
 	assumedEntries = 6
-	// sweepEvery is how often idle connections are looked over.
-	sweepEvery = time.Second
+	// sweepInterval is the interval at which idle connections, and the state of removed servers,
+	// are released.
+	sweepInterval = time.Second
 )
 
-// IdleReadsPerSecond returns how often the entries of a fleet ask the store together
-// while nothing changes: the readers of each availability zone, each watch once in its
-// wait.
+// IdleReadsPerSecond returns the number of store reads per second by all entries of a fleet
+// while nothing changes: each reader of each availability zone repeats each of its watches
+// once per wait.
 func IdleReadsPerSecond(entries, zones int) float64 {
 	readers := min(entries, max(zones*peering.ReadersPerZone, peering.MinReaders))
 	perReader := 0.0
@@ -64,77 +67,77 @@
 	return float64(readers) * perReader
 }
 
-// Decoder translates the platform's objects.
+// Decoder decodes the platform's objects.
 type Decoder struct {
 	ConfigKind  string
 	ServersKind string
-	// EvacuationsKind holds an object for each availability zone that is evacuated, by its
-	// name.
+	// EvacuationsKind is the kind with one object for each evacuated availability zone,
+	// named after the zone.
 	EvacuationsKind string
 	Config          func(objectapi.Object) (*routetable.Table, bool, error)
 	Server          func(objectapi.Object, time.Time) (upstream.Server, error)
 }
 
-// Config sets up a Node.
+// Config configures a Node.
 type Config struct {
 	Name        string
-	Listen      string // callers
-	Datagram    string // other entries
-	RPC         string // other entries' reads of the store; empty: none through each other
-	AdminListen string // metrics, health and readiness
+	Listen      string // address for callers
+	Datagram    string // address for datagrams of other entries
+	RPC         string // address for other entries' reads of the store; if empty, entries don't read through peers
+	AdminListen string // address for metrics, health and readiness
 	Zone        string
 	Region      string
-	// Regions are those of the zones, by name; the own zone needs no entry.
+	// Regions maps zone names to regions. The node's own zone needs no entry.
 	Regions map[string]string
-	// FirstStart says that the whole fleet starts, and nobody calls yet: entries take their
-	// time to find each other, and a few read the store for all.
+	// FirstStart is set if the whole fleet starts and there are no callers yet. Entries then
+	// first wait until they have discovered each other, and a few read the store for all.
 	FirstStart bool
-	// EvacuateWithin is how long after an operator has evacuated a zone nothing new may go
-	// there any more; 0: operators evacuate no zones here.
+	// EvacuateWithin is the time after an operator evacuates a zone by which no new requests
+	// may go there. 0 disables evacuation of zones.
 	EvacuateWithin time.Duration
-	LinkMbps       int    // of the VM; 0: not known
-	ReadyListen    string // the balancer's question
+	LinkMbps       int    // of the VM; 0 if unknown
+	ReadyListen    string // address for the load balancer's readiness checks
 	Grace          time.Duration
 	RetryRatio     float64
 	RetrySlack     float64
 	RetryWindow    time.Duration
 	Conns          ConnLimits
 	Options        gateway.Options
-	Policy         placement.Policy // empty: placement.LeastLoss
-	// Engines gives orders over the node's connections.
+	Policy         placement.Policy // placement.LeastLoss if empty
+	// Engines returns the client that sends orders to engines over the node's connections.
 	Engines  func(*upstream.Pool) reservation.EngineClient
 	Store    objectapi.Store
 	Decoder  Decoder
 	Protocol gateway.Protocol
 	Log      logrus.FieldLogger
-	Sampler  gateway.Sampler // of the lines of requests that went well
+	Sampler  gateway.Sampler // samples the log lines of successful requests
 	Metrics  metrics.Registry
 }
 
 // Node is one running entry.
 type Node struct {
-	cfg       Config
-	routes    *routetable.Holder
-	directory *upstream.Directory
-	zones     *evacuation.Zones
-	warmup    *warmup.Limiter
-	pool      *upstream.Pool
-	gateway   *gateway.Gateway
-	callers   *graceful.Server
-	ready     *http.Server
-	admin     *http.Server
-	stop      context.CancelFunc
-	listed    listedFlag
-	ledger    *placement.Ledger
-	exchange  *peering.Exchange
-	replica   *replica.Replica
-	engines   engineIndex
+	cfg           Config
+	routes        *routetable.Holder
+	directory     *upstream.Directory
+	zones         *evacuation.Zones
+	warmup        *warmup.Limiter
+	pool          *upstream.Pool
+	gateway       *gateway.Gateway
+	callers       *graceful.Server
+	ready         *http.Server
+	admin         *http.Server
+	stop          context.CancelFunc
+	serversListed listedFlag
+	ledger        *placement.Ledger
+	exchange      *peering.Exchange
+	replica       *replica.Replica
+	engines       serviceIndex
 
 	address, readyAddress string // as bound
 }
 
-// Start binds the addresses and begins to serve. The node answers 503 until it has
-// read the configuration.
+// Start binds the addresses and starts to serve. The node responds with status 503 until
+// it has read the configuration.
 func Start(cfg Config) (*Node, error) {
 	n := &Node{
 		cfg:       cfg,
@@ -144,10 +147,10 @@
 		warmup:    warmup.NewLimiter(cfg.Name, time.Now()),
 		pool:      upstream.NewPool(cfg.Metrics),
 	}
-	if !n.evacuates() {
+	if !n.evacuationEnabled() {
 		n.zones.Replace(nil, boottime.Now())
 	}
-	n.ledger = placement.NewLedger(n.engineOf)
+	n.ledger = placement.NewLedger(n.engineProfile)
 	n.replica = replica.New((*sink)(n), boottime.Now)
 	ctx, stop := context.WithCancel(context.Background())
 	n.stop = stop
@@ -203,54 +206,54 @@
 	})
 	if err := n.serve(); err != nil {
 		stop()
-		_ = exchange.Close() // nothing was exchanged yet
+		_ = exchange.Close() // nothing was exchanged yet, so an error has no effect
 		return nil, err
 	}
 	follow := n.follower()
 	n.watch(ctx, cfg.Decoder.ConfigKind, configWait, follow)
 	n.watch(ctx, cfg.Decoder.ServersKind, serversWait, follow)
 	n.watch(ctx, peering.KindGateway, peering.PresenceWatchWait, follow)
-	if n.evacuates() {
+	if n.evacuationEnabled() {
 		n.watch(ctx, cfg.Decoder.EvacuationsKind, n.evacuationsWait(), follow)
 	}
-	n.readThroughPeers(ctx, follow)
-	go n.sweep(ctx)
+	n.startPuller(ctx, follow)
+	go n.sweepPeriodically(ctx)
 	return n, nil
 }
 
 func (n *Node) watch(ctx context.Context, kind string, wait time.Duration, follow *follower) {
 	config := watcherConfig(kind, wait)
-	config.EmptyWaitIsCurrent = kind != n.cfg.Decoder.ConfigKind // a removed key has to be refused whatever the store does
+	config.EmptyWaitIsCurrent = kind != n.cfg.Decoder.ConfigKind // a removed key must be refused even while the store fails
 	config.Store = n.cfg.Store
 	config.Sink = n.replica
-	config.OnUnavailable = n.lost
-	config.Suspended = follow.leavesStore
+	config.OnUnavailable = n.storeUnavailable
+	config.Suspended = follow.skipsStore
 	config.CurrentRevision = n.replica.Revision
-	config.OnCallFailed = follow.failed
+	config.OnCallFailed = follow.callFailed
 	config.Metrics = n.cfg.Metrics
 	config.Log = n.cfg.Log
 	go objectapi.NewWatcher(config).Run(ctx)
 }
 
-// watcherConfig paces the watch of a kind.
+// watcherConfig returns the settings for the pace of a watch of one kind.
 func watcherConfig(kind string, wait time.Duration) objectapi.WatcherConfig {
 	return objectapi.WatcherConfig{Kinds: []string{kind}, Wait: wait, Interval: watchInterval, BackoffMax: watchBackoffMax}
 }
 
-func (n *Node) lost(kind string) {
+func (n *Node) storeUnavailable(kind string) {
 	if kind == n.cfg.Decoder.ServersKind {
 		n.directory.MarkStoreUnavailable()
 	}
 }
 
-func (n *Node) sweep(ctx context.Context) {
-	for sleep.For(ctx, sweepEvery) {
+func (n *Node) sweepPeriodically(ctx context.Context) {
+	for sleep.For(ctx, sweepInterval) {
 		known, instances := map[string]bool{}, map[string]bool{}
 		for _, s := range n.directory.All() {
 			known[s.Address], instances[s.Instance] = true, true
 		}
 		n.pool.Sweep(func(address string) bool { return known[address] })
 		n.warmup.Retain(func(instance string) bool { return instances[instance] })
-		n.ledger.PruneServers(func(server uint64) bool { return n.engines.knows(n.directory, server) })
+		n.ledger.PruneServers(func(server uint64) bool { return n.engines.contains(n.directory, server) })
 	}
 }
--- a/internal/gatewaynode/peers.go
+++ b/internal/gatewaynode/peers.go
@@ -18,110 +18,113 @@
 )
 
 const (
-	// The ages from which peers are asked. A proof of the configuration counts from before
-	// its watch began to wait, and the next one comes a wait later: undisturbed, it grows to
-	// two waits and what two calls take; that of the servers to one wait. The slack is for
-	// the pull, and for a reader that has to list again since the store forgot its history:
-	// without it every entry would do so.
+	// The ages above which a kind counts as outdated and peers are asked. A confirmation of
+	// the configuration is dated before its watch began to wait, and the next one arrives a
+	// wait later: without faults its age reaches two waits plus the duration of two calls,
+	// and that of the servers one wait. The slack covers the pull, and a reader that has to
+	// list again because the store has dropped its history; without the slack every entry
+	// would list.
 	configPullAge   = 2*configWait + pullAgeSlack
 	serversPullAge  = serversWait + pullAgeSlack
-	presencePullAge = 3 * peering.PresenceWatchWait // nothing depends on its being new
+	presencePullAge = 3 * peering.PresenceWatchWait // nothing depends on current presence data
 	pullAgeSlack    = 900 * time.Millisecond
-	// takeUpPause bounds the pause, from half of it on, after which an entry that isn't a
-	// reader asks the object API again that didn't answer it. In an outage every entry
-	// finds its readers' word old, and all would ask, for each kind. The readers go on
-	// trying at their own pace and the others hear of the end by their next question.
-	takeUpPause = 3 * time.Second
-	// At the first start of a whole fleet each entry would read all that it has to know
-	// from the store, though a few could hand it to the others. All have announced
-	// themselves after announceTime, so that one list of the entries shows them; after
-	// gatherTime they have heard each other's beats and know who the readers are; gatherLimit
-	// is how long one that is no reader leaves the first read to the readers.
-	announceTime = 1200 * time.Millisecond
-	gatherTime   = 2500 * time.Millisecond
-	gatherLimit  = 6 * time.Second
+	// maxRetryPause is the longest pause after a failed call before an entry that isn't a
+	// reader calls the object API again; the pause is random, at least half of this. In an
+	// outage the state from the readers becomes outdated at every entry, and all would call,
+	// for each kind. The readers continue to retry at their own pace, and the others get
+	// the new state from them with their next pull after the outage.
+	maxRetryPause = 3 * time.Second
+	// At the first start of a whole fleet each entry would read the whole state from the
+	// store, though a few could pass it to the others. After announceTime all entries have
+	// announced themselves, so that one list of the entries contains them all. After
+	// discoveryTime they have received each other's heartbeats and can determine the
+	// readers. maxFirstReadWait is the longest time for which an entry that isn't a reader
+	// leaves the first read to the readers.
+	announceTime     = 1200 * time.Millisecond
+	discoveryTime    = 2500 * time.Millisecond
+	maxFirstReadWait = 6 * time.Second
 )
 
-// follower decides when an entry leaves the store to the readers of its region. It is
-// safe for concurrent use.
+// follower decides when an entry skips reading the store and relies on the readers of its
+// region. It is safe for concurrent use.
 type follower struct {
-	replica *replica.Replica
-	kinds   []replica.PulledKind
-	readers func() peering.Readers
-	clock   boottime.Clock
-	turn    atomic.Uint64 // counts the questions to readers
-	// gathers is set at the first start of the whole fleet.
-	gathers bool
-	begun   boottime.Instant
-
-	mu     sync.Mutex // guards what follows; a leaf lock
-	pauses map[string]boottime.Instant
+	replica   *replica.Replica
+	kinds     []replica.PulledKind
+	readers   func() peering.Readers
+	clock     boottime.Clock
+	pullCount atomic.Uint64 // counts calls of sources, to alternate the first peer
+	// firstStart is set if the whole fleet starts for the first time.
+	firstStart bool
+	startedAt  boottime.Instant
+
+	mu          sync.Mutex // guards the fields below; no other lock is taken while it is held
+	pausedUntil map[string]boottime.Instant
 }
 
-// follower returns the node's own. Its peers can be asked once the exchange runs.
+// follower returns the follower of the node. It can ask peers once the exchange runs.
 func (n *Node) follower() *follower {
 	kinds := []replica.PulledKind{
 		{Kind: n.cfg.Decoder.ConfigKind, MaxAge: configPullAge},
 		{Kind: n.cfg.Decoder.ServersKind, MaxAge: serversPullAge},
 		{Kind: peering.KindGateway, MaxAge: presencePullAge},
 	}
-	if n.evacuates() {
+	if n.evacuationEnabled() {
 		kinds = append(kinds, replica.PulledKind{Kind: n.cfg.Decoder.EvacuationsKind, MaxAge: n.evacuationsWait() + pullAgeSlack})
 	}
 	f := newFollower(n.replica, kinds, n.exchange.Readers, boottime.Now)
-	f.gathers = n.cfg.FirstStart
+	f.firstStart = n.cfg.FirstStart
 	return f
 }
 
 func newFollower(r *replica.Replica, kinds []replica.PulledKind, readers func() peering.Readers, clock boottime.Clock) *follower {
 	return &follower{
-		replica: r, kinds: kinds, readers: readers, clock: clock, begun: clock(), pauses: map[string]boottime.Instant{},
+		replica: r, kinds: kinds, readers: readers, clock: clock, startedAt: clock(), pausedUntil: map[string]boottime.Instant{},
 	}
 }
 
-// leavesStore reports whether the entry leaves a kind to its peers now: others read the
-// store, and what they tell is new enough. As soon as it isn't, the entry asks the store
-// itself, and if that fails, again after a pause.
-func (f *follower) leavesStore(kind string) bool {
+// skipsStore reports whether the entry skips reading a kind from the store now, because
+// other entries read it and the state from them is recent enough. Otherwise the entry
+// reads the store itself, and if that fails, retries after a pause.
+func (f *follower) skipsStore(kind string) bool {
 	own := f.readers().Self
 	age, ok := f.replica.Age(kind)
-	if !ok && f.leavesFirstRead(kind, own) {
+	if !ok && f.skipsFirstRead(kind, own) {
 		return true
 	}
 	if own {
 		return false
 	}
-	if ok && age < f.limit(kind) {
+	if ok && age < f.maxAge(kind) {
 		return true
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.clock() < f.pauses[kind]
+	return f.clock() < f.pausedUntil[kind]
 }
 
-// leavesFirstRead reports whether an entry leaves the first read of a kind to others, at
-// the first start of the whole fleet.
-func (f *follower) leavesFirstRead(kind string, own bool) bool {
-	if !f.gathers {
+// skipsFirstRead reports whether an entry leaves the first read of a kind to other entries,
+// which it does only at the first start of the whole fleet.
+func (f *follower) skipsFirstRead(kind string, own bool) bool {
+	if !f.firstStart {
 		return false
 	}
-	passed := f.clock().Sub(f.begun)
+	passed := f.clock().Sub(f.startedAt)
 	if kind == peering.KindGateway {
 		return passed < announceTime
 	}
-	return passed < gatherTime || !own && passed < gatherLimit
+	return passed < discoveryTime || !own && passed < maxFirstReadWait
 }
 
-// failed notes that the store didn't answer the entry for a kind.
-func (f *follower) failed(kind string) {
-	pause := takeUpPause/2 + rand.N(takeUpPause/2)
+// callFailed records that a call to the store for a kind failed, and starts the pause.
+func (f *follower) callFailed(kind string) {
+	pause := maxRetryPause/2 + rand.N(maxRetryPause/2)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.pauses[kind] = f.clock().Add(pause)
+	f.pausedUntil[kind] = f.clock().Add(pause)
 }
 
-// limit is the age up to which a kind is left to peers.
-func (f *follower) limit(kind string) time.Duration {
+// maxAge returns the age below which state from peers is accepted for a kind.
+func (f *follower) maxAge(kind string) time.Duration {
 	for _, k := range f.kinds {
 		if k.Kind == kind {
 			return k.MaxAge
@@ -130,15 +133,16 @@
 	return 0
 }
 
-// sources returns whom to ask, and whether to leave the store to them. A reader of the own
-// zone and one of another take turns to be first: the store may have turned away the one
-// and serve the others, and what the first says counts as new for seconds. After them
-// comes an entry that is no reader: the store may have turned away all that are.
+// sources returns the peers to pull from, and whether to pull always. A reader of the
+// node's own zone and one of another zone alternate as the first peer: the store may
+// reject calls of one and serve the other, and the state from the first counts as recent
+// for seconds. An entry that isn't a reader follows them, because the store may reject
+// the calls of all readers.
 func (f *follower) sources() replica.Sources {
 	r := f.readers()
 	out := replica.Sources{AlwaysPull: !r.Self, LargeObjectPeers: r.SameZone}
 	first, second := r.SameZone, r.OtherZones
-	if f.turn.Add(1)%2 == 0 {
+	if f.pullCount.Add(1)%2 == 0 {
 		first, second = second, first
 	}
 	for _, group := range [][]string{first, second, r.Others} {
@@ -150,7 +154,7 @@
 	return out
 }
 
-// puller returns the Puller that keeps the follower's kinds current.
+// puller returns the Puller that keeps the follower's kinds current from peers.
 func (f *follower) puller(asker replica.Client, r metrics.Registry) *replica.Puller {
 	return replica.NewPuller(replica.PullerConfig{
 		Replica: f.replica,
@@ -162,8 +166,8 @@
 	})
 }
 
-// servePeers answers other entries' reads until ctx ends, and returns the address
-// that was bound; it is empty where none is set.
+// servePeers serves other entries' reads until ctx ends, and returns the bound address,
+// or an empty string if no address is configured.
 func (n *Node) servePeers(ctx context.Context) (string, error) {
 	if n.cfg.RPC == "" {
 		return "", nil
@@ -176,16 +180,17 @@
 	go func() {
 		err := wire.Serve(ctx, lis, services, wire.Options{Log: n.cfg.Log, Metrics: n.cfg.Metrics})
 		if err != nil {
-			// Peers read the store directly, or through others; only they lose by it.
-			n.cfg.Log.WithError(err).Error("peers are not answered any more")
+			// Peers can still read the store directly or through other entries, so that
+			// this entry continues to serve callers.
+			n.cfg.Log.WithError(err).Error("stopped serving peers")
 		}
 	}()
 	return lis.Addr().String(), nil
 }
 
-// readThroughPeers begins to keep what the store says current from peers, while the
-// store turns this VM away, until ctx ends.
-func (n *Node) readThroughPeers(ctx context.Context, follow *follower) {
+// startPuller starts pulling the store's state from peers, until ctx ends. This keeps the
+// state current also while the store rejects this VM's calls.
+func (n *Node) startPuller(ctx context.Context, follow *follower) {
 	if n.cfg.RPC == "" {
 		return
 	}
@@ -194,7 +199,7 @@
 	go func() {
 		puller.Run(ctx)
 		if err := dialer.Close(); err != nil {
-			n.cfg.Log.WithError(err).Info("connections to peers did not end well")
+			n.cfg.Log.WithError(err).Info("failed to close connections to peers")
 		}
 	}()
 }
--- a/internal/gatewaynode/serve.go
+++ b/internal/gatewaynode/serve.go
@@ -12,20 +12,20 @@
 	"github.com/briarturn/briarturn/internal/graceful"
 )
 
-// readyAge is how old the proof of the configuration may be while the balancer is
-// told to send callers here: three fifths of the five seconds in which a removed key
-// has to be refused.
+// readyAge is the age of the last confirmation of the configuration from which the node
+// reports itself as not ready to the load balancer: three fifths of the five seconds
+// within which a removed key must be refused.
 const readyAge = 3 * time.Second
 
-// ConnLimits bound a caller's connection.
+// ConnLimits limit a caller's connection.
 type ConnLimits struct {
 	HeaderBytes   int
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
 
-// serve binds the addresses and starts the servers for callers, the balancer and
-// operators.
+// serve binds the addresses and starts the servers for callers, the load balancer's
+// readiness checks and operators.
 func (n *Node) serve() error {
 	callers, err := net.Listen("tcp", n.cfg.Listen)
 	if err != nil {
@@ -33,21 +33,21 @@
 	}
 	ready, err := net.Listen("tcp", n.cfg.ReadyListen)
 	if err != nil {
-		_ = callers.Close() // nothing was accepted on it
+		_ = callers.Close() // no connection was accepted
 		return errors.Annotatef(err, "step listen for readiness, address %s", n.cfg.ReadyListen)
 	}
 	n.address, n.readyAddress = callers.Addr().String(), ready.Addr().String()
-	n.callers = n.callersServer()
-	n.ready = &http.Server{Handler: http.HandlerFunc(n.answerReady), ReadHeaderTimeout: n.cfg.Conns.HeaderTimeout}
+	n.callers = n.newCallerServer()
+	n.ready = &http.Server{Handler: http.HandlerFunc(n.handleReady), ReadHeaderTimeout: n.cfg.Conns.HeaderTimeout}
 	go n.serveCallers(callers)
-	go n.run(n.ready, ready)
-	n.serveOperators()
+	go n.serveHTTP(n.ready, ready)
+	n.serveAdmin()
 	return nil
 }
 
-// callersServer returns the server for callers, which refuses at its end as the
-// gateway does.
-func (n *Node) callersServer() *graceful.Server {
+// newCallerServer returns the server for callers. At shutdown it refuses requests with the
+// same response as the gateway.
+func (n *Node) newCallerServer() *graceful.Server {
 	srv := &http.Server{
 		Handler:           n.gateway,
 		ReadHeaderTimeout: n.cfg.Conns.HeaderTimeout,
@@ -64,10 +64,10 @@
 	}
 }
 
-// serveOperators serves metrics and health. Their port is the same on every VM and
-// may be taken on one: callers are served without metrics rather than not at all,
-// and the line tells why a scraper finds nothing.
-func (n *Node) serveOperators() {
+// serveAdmin serves metrics, health and readiness to operators. Their port is the same on
+// every VM and may be in use on one of them. The node then serves callers without metrics
+// rather than not at all, and logs why a scraper can't connect.
+func (n *Node) serveAdmin() {
 	n.admin = admin.NewServer(admin.Config{Status: n, Ready: n, Metrics: n.cfg.Metrics})
 	lis, err := net.Listen("tcp", n.cfg.AdminListen)
 	if err != nil {
@@ -75,30 +75,32 @@
 		n.cfg.Log.WithError(err).Error("no metrics are served")
 		return
 	}
-	go n.run(n.admin, lis)
+	go n.serveHTTP(n.admin, lis)
 }
 
-// Address returns where callers are served, with the port that was bound.
+// Address returns the address for callers, with the bound port.
 func (n *Node) Address() string { return n.address }
 
-// ReadyAddress returns where the balancer asks, with the port that was bound.
+// ReadyAddress returns the address for the load balancer's readiness checks, with the
+// bound port.
 func (n *Node) ReadyAddress() string { return n.readyAddress }
 
-func (n *Node) run(s *http.Server, lis net.Listener) {
+func (n *Node) serveHTTP(s *http.Server, lis net.Listener) {
 	if err := s.Serve(lis); !errors.Is(err, http.ErrServerClosed) {
 		n.cfg.Log.WithError(err).WithField("address", lis.Addr().String()).Error("server ended")
 	}
 }
 
-// answerReady tells the balancer whether to send callers here.
-func (n *Node) answerReady(w http.ResponseWriter, _ *http.Request) {
+// handleReady responds to the load balancer with status 200 if the node is ready, else 503.
+func (n *Node) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if n.Ready() != nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// Ready returns nil if the node knows a configuration that was proved current a
-// short time ago, knows the backend servers, and isn't ending; else the reason.
+// Ready returns nil if the node has a configuration that was confirmed less than readyAge
+// ago, has listed the backend servers and the evacuated zones, and isn't shutting down;
+// otherwise it returns the reason.
 func (n *Node) Ready() error {
 	_, age, ok := n.routes.Table()
 	switch {
@@ -106,9 +108,9 @@
 		return errors.New("no configuration yet")
 	case age >= readyAge:
 		return errors.Errorf("configuration was last proved current %v ago", age)
-	case !n.listed.Load():
+	case !n.serversListed.Load():
 		return errors.New("backend servers not listed yet")
-	case !n.knowsZones():
+	case !n.zonesListed():
 		return errors.New("evacuated zones not listed yet")
 	case n.gateway.ShuttingDown():
 		return errors.New("shutting down")
--- a/internal/gatewaynode/serve_test.go
+++ b/internal/gatewaynode/serve_test.go
@@ -18,7 +18,7 @@
 	"github.com/briarturn/briarturn/upstream"
 )
 
-// start starts a node with an empty store, and returns its registry.
+// start starts a node with an empty store, and returns the node and its metrics registry.
 func start(t *testing.T, admin string, conns gatewaynode.ConnLimits) (*gatewaynode.Node, metrics.Registry) {
 	t.Helper()
 	return startWithGrace(t, admin, conns, time.Second)
@@ -46,10 +46,9 @@
 	return n, registry
 }
 
-// Symptom: no entry starts any more on some VMs. Sequence: another process holds
-// the port for metrics, which is the same everywhere; an entry starts.
-// Cause: it gave up, though it could have served its callers.
-func TestServesCallersWithoutAPortForMetrics(t *testing.T) {
+// Guards against an entry that fails to start because another process on the VM uses the
+// port for metrics, which is the same on every VM: the entry can still serve callers.
+func TestServesCallersWhenAdminPortIsTaken(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -66,9 +65,9 @@
 	}
 }
 
-// Symptom: connections and their memory are used up by callers that send a byte now
-// and then. Sequence: a head begins and never ends. Cause: only its size was bounded.
-func TestSlowHeadIsEnded(t *testing.T) {
+// Guards against callers that exhaust connections and memory by sending an incomplete
+// header slowly: only the size of a header was limited, not its time.
+func TestSlowHeaderIsTimedOut(t *testing.T) {
 	n, registry := start(t, "127.0.0.1:0", gatewaynode.ConnLimits{HeaderTimeout: 100 * time.Millisecond})
 	conn, err := net.Dial("tcp", n.Address())
 	if err != nil {
@@ -92,10 +91,10 @@
 	}
 }
 
-// Guards against a request that meets the end of its entry getting a closed
-// connection for an answer: on fresh and kept connections the caller is told
-// "not run", and then the connection ends.
-func TestCallersAreToldTheEndOfTheirEntry(t *testing.T) {
+// Guards against closing a connection without a response when a request arrives during the
+// entry's shutdown: on new and on reused connections the caller gets the refusal
+// "not run", and then the connection is closed.
+func TestOpenConnectionsAreRefusedAtShutdown(t *testing.T) {
 	const whole = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 	n, _ := startWithGrace(t, "127.0.0.1:0", gatewaynode.ConnLimits{}, time.Minute)
 	var conns []net.Conn
@@ -130,7 +129,7 @@
 	}
 }
 
-// wantRefusal reads an answer that refuses a request as not run, for a reason.
+// wantRefusal expects a response that refuses a request as not run, with a reason.
 func wantRefusal(t *testing.T, conn net.Conn, reason string) {
 	t.Helper()
 	_ = conn.SetReadDeadline(time.Now().Add(time.Minute))
--- a/internal/gatewaynode/sink.go
+++ b/internal/gatewaynode/sink.go
@@ -12,10 +12,10 @@
 	"github.com/briarturn/briarturn/upstream"
 )
 
-// listedFlag says whether the backend servers were listed once.
+// listedFlag is set once the backend servers have been listed.
 type listedFlag struct{ atomic.Bool }
 
-// sink takes what the watches bring.
+// sink applies the listings and events of the watches to the node.
 type sink Node
 
 var _ objectapi.Sink = (*sink)(nil)
@@ -24,7 +24,7 @@
 func (s *sink) Snapshot(kind string, l objectapi.Listing) {
 	switch kind {
 	case s.cfg.Decoder.ConfigKind:
-		s.takeConfig(l)
+		s.applyConfig(l)
 	case s.cfg.Decoder.ServersKind:
 		s.replaceServers(l)
 	case s.cfg.Decoder.EvacuationsKind:
@@ -38,7 +38,7 @@
 func (s *sink) Events(kind string, l objectapi.Listing) {
 	switch kind {
 	case s.cfg.Decoder.ConfigKind:
-		s.takeConfig(l)
+		s.applyConfig(l)
 	case s.cfg.Decoder.ServersKind:
 		s.changeServers(l)
 	case s.cfg.Decoder.EvacuationsKind:
@@ -48,13 +48,13 @@
 	}
 }
 
-// takeConfig takes the newest configuration of a list or of some events. One that
-// can't be read leaves the last good one in force, and its age unproved.
-func (s *sink) takeConfig(l objectapi.Listing) {
+// applyConfig applies the newest configuration of a listing or of events. If it can't be
+// decoded, the last valid one stays in force and its confirmation isn't renewed.
+func (s *sink) applyConfig(l objectapi.Listing) {
 	for i := len(l.Objects) - 1; i >= 0; i-- {
 		table, ok, err := s.cfg.Decoder.Config(l.Objects[i])
 		if err != nil {
-			s.cfg.Log.WithError(err).Error("configuration can't be read")
+			s.cfg.Log.WithError(err).Error("configuration can't be decoded")
 			return
 		}
 		if !ok {
@@ -74,13 +74,13 @@
 	var servers []upstream.Server
 	for _, o := range l.Objects {
 		if server, ok := s.decodeServer(o, now); ok {
-			s.noteRestart(server, now)
+			s.handleRestart(server, now)
 			servers = append(servers, server)
 		}
 	}
 	s.directory.Replace(servers, now)
 	s.directory.MarkCurrent(l.CurrentAsOf)
-	s.listed.Store(true)
+	s.serversListed.Store(true)
 	s.cfg.Log.WithFields(logrus.Fields{"servers": len(servers), "object_revision": l.Revision}).Info("backend servers listed")
 }
 
@@ -95,10 +95,10 @@
 		}
 		server, ok := s.decodeServer(o, now)
 		if !ok {
-			s.directory.Remove(o.Name, now) // whatever it named, it names nothing now
+			s.directory.Remove(o.Name, now) // the object no longer describes a valid server
 			continue
 		}
-		s.noteRestart(server, now)
+		s.handleRestart(server, now)
 		s.directory.Put(server)
 		state := "ready"
 		if server.Draining {
@@ -109,8 +109,8 @@
 	s.directory.MarkCurrent(l.CurrentAsOf)
 }
 
-// noteRestart forgets the work of a server that has started again under its name.
-func (s *sink) noteRestart(server upstream.Server, now time.Time) {
+// handleRestart resets the ledger's state of a server that has restarted under the same name.
+func (s *sink) handleRestart(server upstream.Server, now time.Time) {
 	if !s.directory.IsRestart(server) {
 		return
 	}
@@ -124,12 +124,12 @@
 	}).Info("backend server changed")
 }
 
-// decodeServer skips a registration that can't be read: one server's fault must
-// not hide the rest.
+// decodeServer decodes a registration and sets its region. It returns false for an invalid
+// registration, so that the caller skips only this one and keeps the other servers.
 func (s *sink) decodeServer(o objectapi.Object, now time.Time) (upstream.Server, bool) {
 	server, err := s.cfg.Decoder.Server(o, now)
 	if err != nil {
-		s.cfg.Log.WithError(err).Warn("backend server can't be read")
+		s.cfg.Log.WithError(err).Warn("backend server can't be decoded")
 		return server, false
 	}
 	server.Region = (*Node)(s).regionOf(server.Zone)
--- a/internal/gatewaynode/status.go
+++ b/internal/gatewaynode/status.go
@@ -9,14 +9,14 @@
 	"github.com/briarturn/briarturn/upstream"
 )
 
-// role is what a node says that it is.
+// role is the role in a node's status.
 const role = "gateway"
 
 // States of a backend server in a node's status.
 const (
 	stateLive      = "live"
-	stateCold      = "cold"      // warms up, or was restored with its zone a moment ago
-	stateEvacuated = "evacuated" // of a zone that operators have evacuated
+	stateCold      = "cold"      // warming up, or in a zone that was restored recently
+	stateEvacuated = "evacuated" // in a zone that operators have evacuated
 )
 
 var _ admin.StatusProvider = (*Node)(nil)
@@ -28,7 +28,7 @@
 		Name: n.cfg.Name, Role: role, Zone: n.cfg.Zone, Ready: n.Ready() == nil, Draining: n.gateway.ShuttingDown(),
 		Running: n.gateway.ActiveRequests(), EvacuatedZones: view.Zones(), Servers: []admin.ServerStatus{},
 	}
-	if age, ok := n.zones.Age(); ok && n.evacuates() {
+	if age, ok := n.zones.Age(); ok && n.evacuationEnabled() {
 		s.ZonesAgeMS = age.Milliseconds()
 	}
 	if table, _, ok := n.routes.Table(); ok {
@@ -43,12 +43,12 @@
 		case now.Before(server.ColdUntil) || view.RecentlyRestored(server.Zone):
 			state = stateCold
 		}
-		s.Servers = append(s.Servers, statusOf(server, state))
+		s.Servers = append(s.Servers, serverStatus(server, state))
 	}
 	slices.SortFunc(s.Servers, func(a, b admin.ServerStatus) int { return cmp.Compare(a.Name, b.Name) })
 	return s
 }
 
-func statusOf(s upstream.Server, state string) admin.ServerStatus {
+func serverStatus(s upstream.Server, state string) admin.ServerStatus {
 	return admin.ServerStatus{Name: s.Instance, Zone: s.Zone, Pool: s.Service, State: state, Draining: s.Draining}
 }
--- a/internal/gatewaynode/unreadable.go
+++ b/internal/gatewaynode/unreadable.go
@@ -9,49 +9,49 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// unreadable counts requests that net/http refuses before a handler sees them: bad
-// framing, broken heads, heads that take too long. They have no line and no id; the
-// counter is all that tells operators of a caller, or an attacker, that sends them.
-type unreadable struct {
+// unreadableCounter counts requests that net/http rejects before a handler runs: bad framing,
+// malformed headers, headers that take too long. They have no log line and no ID, so that
+// this counter is the only sign of a caller, or an attacker, that sends them.
+type unreadableCounter struct {
 	count metrics.Counter
 
 	mu    sync.Mutex // guards conns
-	conns map[net.Conn]*connMark
+	conns map[net.Conn]*requestState
 }
 
-// connMark is what became of the request that a connection is active with.
-type connMark struct {
-	mu      sync.Mutex // guards what follows
+// requestState is the state of the current request of a connection.
+type requestState struct {
+	mu      sync.Mutex // guards the fields below
 	active  bool
 	handled bool
 }
 
-type connMarkKey struct{}
+type requestStateKey struct{}
 
-// countUnreadable has a server count in a registry, nil for none.
+// countUnreadable makes srv count unreadable requests in r, or in the default registry if r is nil.
 func countUnreadable(srv *http.Server, r metrics.Registry) {
-	u := &unreadable{
+	u := &unreadableCounter{
 		count: metrics.GetOrRegisterCounter("gateway.requests.unreadable", r),
-		conns: map[net.Conn]*connMark{},
+		conns: map[net.Conn]*requestState{},
 	}
 	next := srv.Handler
 	srv.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if m, ok := r.Context().Value(connMarkKey{}).(*connMark); ok {
+		if m, ok := r.Context().Value(requestStateKey{}).(*requestState); ok {
 			m.set(true, true)
 		}
 		next.ServeHTTP(w, r)
 	})
 	srv.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
-		m := &connMark{}
+		m := &requestState{}
 		u.mu.Lock()
 		u.conns[conn] = m
 		u.mu.Unlock()
-		return context.WithValue(ctx, connMarkKey{}, m)
+		return context.WithValue(ctx, requestStateKey{}, m)
 	}
-	srv.ConnState = u.note
+	srv.ConnState = u.connStateChanged
 }
 
-func (u *unreadable) note(conn net.Conn, state http.ConnState) {
+func (u *unreadableCounter) connStateChanged(conn net.Conn, state http.ConnState) {
 	u.mu.Lock()
 	m := u.conns[conn]
 	if state == http.StateClosed || state == http.StateHijacked {
@@ -73,13 +73,13 @@
 	}
 }
 
-func (m *connMark) set(active, handled bool) {
+func (m *requestState) set(active, handled bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.active, m.handled = active, handled
 }
 
-func (m *connMark) unhandled() bool {
+func (m *requestState) unhandled() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.active && !m.handled
--- a/internal/gatewaynode/zones.go
+++ b/internal/gatewaynode/zones.go
@@ -6,27 +6,27 @@
 	"github.com/briarturn/briarturn/objectapi"
 )
 
-// evacuationsWaitShare is the part of the time in which a zone has to be left alone that a
-// watch of the evacuated zones waits. Undisturbed the word of them is a wait old at most;
-// beyond that an entry asks others and the store itself, which takes a second and a half.
+// evacuationsWaitShare is the fraction of Config.EvacuateWithin for which a watch of the
+// evacuated zones waits. Without faults the list of them is at most one wait old. When it
+// is older, an entry asks its peers and the store itself, which takes 1.5 seconds.
 const evacuationsWaitShare = 0.5
 
-// evacuates reports whether operators empty zones here.
-func (n *Node) evacuates() bool {
+// evacuationEnabled reports whether evacuation of zones is configured.
+func (n *Node) evacuationEnabled() bool {
 	return n.cfg.Decoder.EvacuationsKind != "" && n.cfg.EvacuateWithin > 0
 }
 
-// evacuationsWait is how long a watch of the evacuated zones waits.
+// evacuationsWait returns the longest time that a watch of the evacuated zones waits.
 func (n *Node) evacuationsWait() time.Duration {
 	return time.Duration(evacuationsWaitShare * float64(n.cfg.EvacuateWithin))
 }
 
-func (n *Node) knowsZones() bool {
+func (n *Node) zonesListed() bool {
 	_, ok := n.zones.Age()
 	return ok
 }
 
-// regionOf returns the region of a zone; empty if it isn't known.
+// regionOf returns the region of a zone, or an empty string if it is unknown.
 func (n *Node) regionOf(zone string) string {
 	if region, ok := n.cfg.Regions[zone]; ok || zone != n.cfg.Zone {
 		return region
